--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -4,9 +4,11 @@
 use crate::terms::*;
 use bytes::{Bytes, BytesMut};
 use calloop::EventLoop;
-use myrtlegauge_wire::protocol::Fault;
-use myrtlegauge_wire::protocol::fastcgi_client::{self, Answer, Answers};
-use myrtlegauge_wire::transport::{Accounts, Connection, Hub, Owner, Reading};
+use myrtlegauge_wire::protocol::StreamError;
+use myrtlegauge_wire::protocol::fastcgi_client::{self, Response, ResponseReader};
+use myrtlegauge_wire::transport::{
+    Connection, EventLoopHandle, ReadOutcome, ReadinessHandler, ResourceUsage,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::os::fd::{AsFd, BorrowedFd};
 use std::rc::Rc;
@@ -25,7 +27,7 @@
 struct Line {
     connection: Connection<Stirs>,
     up: bool,
-    answers: Answers,
+    answers: ResponseReader,
     /// Requests that are out: number, call, and where their last byte stands in what was ever written.
     open: Vec<(u16, CallId, u64)>,
     aborted: Vec<u16>,
@@ -42,17 +44,17 @@
 #[derive(Default)]
 struct Stirs(Vec<LinkId>);
 
-impl Owner for Stirs {
+impl ReadinessHandler for Stirs {
     type Key = LinkId;
 
-    fn ready(&mut self, who: LinkId) {
+    fn on_socket_ready(&mut self, who: LinkId) {
         self.0.push(who);
     }
 }
 
 struct Desk {
-    hub: Hub<Stirs>,
-    accounts: Rc<Accounts>,
+    hub: EventLoopHandle<Stirs>,
+    accounts: Rc<ResourceUsage>,
     services: Vec<String>,
     places: Vec<Place>,
     lines: BTreeMap<LinkId, Line>,
@@ -81,10 +83,10 @@
 
 impl Carry for Desk {
     fn connect(&mut self, link: LinkId, place: usize) {
-        match Connection::opening(&self.hub, self.places[place].address, link, &self.accounts) {
+        match Connection::connect(&self.hub, self.places[place].address, link, &self.accounts) {
             Ok(connection) => {
                 let (open, aborted) = (Vec::new(), Vec::new());
-                let line = Line { connection, up: false, answers: Answers::default(), open, aborted };
+                let line = Line { connection, up: false, answers: ResponseReader::default(), open, aborted };
                 self.lines.insert(link, line);
             }
             Err(_) => self.failed.push(link),
@@ -116,19 +118,19 @@
             params.push(("HTTP_X_FIRST_ID", first.as_bytes()));
             params.push(("HTTP_X_TRY", number_text.as_bytes()));
         }
-        fastcgi_client::request(&mut self.pen, number, &params, &get.body);
-        line.connection.push(self.pen.split().freeze());
-        line.open.push((number, call, line.connection.pushed()));
+        fastcgi_client::write_request(&mut self.pen, number, &params, &get.body);
+        line.connection.enqueue(self.pen.split().freeze());
+        line.open.push((number, call, line.connection.enqueued_bytes()));
         let _ = line.connection.flush();
     }
 
     fn abort(&mut self, link: LinkId, number: u16) {
         let Some(line) = self.lines.get_mut(&link) else { return };
         line.open.retain(|(known, ..)| *known != number);
-        line.answers.forget(number);
+        line.answers.discard(number);
         line.aborted.push(number);
-        fastcgi_client::abort(&mut self.pen, number);
-        line.connection.push(self.pen.split().freeze());
+        fastcgi_client::write_abort(&mut self.pen, number);
+        line.connection.enqueue(self.pen.split().freeze());
         let _ = line.connection.flush();
     }
 
@@ -193,7 +195,7 @@
         let turns = EventLoop::<Stirs>::try_new().map_err(|e| format!("no event loop: {e}"))?;
         let desk = Desk {
             hub: turns.handle(),
-            accounts: Rc::new(Accounts::default()),
+            accounts: Rc::new(ResourceUsage::default()),
             services: services.iter().map(|service| service.name.clone()).collect(),
             places: places.clone(),
             lines: BTreeMap::new(),
@@ -297,7 +299,7 @@
 /// Reads and writes what can be on one line.
 fn on_ready(round: &mut Round<'_, Desk>, link: LinkId, shared: &mut [u8]) {
     let Some(line) = round.carry().lines.get_mut(&link) else { return };
-    let up = match line.connection.is_up() {
+    let up = match line.connection.is_connected() {
         Ok(up) => up,
         Err(_) => return lose(round, link, End::Lost),
     };
@@ -312,34 +314,34 @@
         if line.connection.flush().is_err() {
             return lose(round, link, End::Lost);
         }
-        let before = line.connection.unread();
+        let before = line.connection.unparsed_bytes();
         let reading = line.connection.read(shared, READ_MOST);
-        if line.connection.unread() > before {
+        if line.connection.unparsed_bytes() > before {
             round.heard(link);
         }
         loop {
             let Some(line) = round.carry().lines.get_mut(&link) else { return };
             let Line { connection, answers, open, aborted, .. } = line;
             let known = |number: u16| open.iter().any(|(n, ..)| *n == number) || aborted.contains(&number);
-            match connection.parse(|inbound| answers.next(inbound, known)) {
+            match connection.parse(|inbound| answers.next_response(inbound, known)) {
                 Ok(Some(answer)) => answered(round, link, answer),
                 Ok(None) if aborted.len() > ABORTED_MOST => return lose(round, link, End::Spoilt),
                 Ok(None) => break,
-                Err(Fault(what)) => {
+                Err(StreamError(what)) => {
                     log::warn!("a dispatcher's connection is closed: {what}");
                     return lose(round, link, End::Spoilt);
                 }
             }
         }
         match reading {
-            Reading::Ended => return lose(round, link, End::Lost),
-            Reading::Dry => return,
-            Reading::More => {}
+            ReadOutcome::Closed => return lose(round, link, End::Lost),
+            ReadOutcome::Drained => return,
+            ReadOutcome::More => {}
         }
     }
 }
 
-fn answered(round: &mut Round<'_, Desk>, link: LinkId, answer: Answer) {
+fn answered(round: &mut Round<'_, Desk>, link: LinkId, answer: Response) {
     let Some(line) = round.carry().lines.get_mut(&link) else { return };
     if let Some(at) = line.aborted.iter().position(|&number| number == answer.number) {
         line.aborted.swap_remove(at);
@@ -351,14 +353,14 @@
         Some(200) => Answered::Returned,
         None | Some(429 | 503) => {
             let ms = |bytes: &Bytes| std::str::from_utf8(bytes).ok()?.trim().parse().ok();
-            Answered::Shed(answer.back_off.as_ref().and_then(ms))
+            Answered::Shed(answer.back_off_ms.as_ref().and_then(ms))
         }
         Some(_) => Answered::Errored,
     };
     if told == Answered::Returned
         && let Some(held) = round.carry().calls.get_mut(&call)
     {
-        held.answer = Some(Returned { valid: answer.valid, body: answer.body });
+        held.answer = Some(Returned { valid: answer.is_held_copy_valid, body: answer.body });
     }
     round.answered(link, number, told);
 }
@@ -366,7 +368,7 @@
 /// A line is over: each request there is told with how far it got.
 fn lose(round: &mut Round<'_, Desk>, link: LinkId, end: End) {
     let Some(line) = round.carry().lines.get(&link) else { return };
-    let flushed = line.connection.flushed();
+    let flushed = line.connection.written_bytes();
     let whole: Vec<u16> = line.open.iter().filter(|(.., last)| flushed >= *last).map(|(n, ..)| *n).collect();
     round.lost(link, end, |number| if whole.contains(&number) { Reached::Whole } else { Reached::NotWhole });
 }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -12,7 +12,7 @@
 use myrtlegauge::reading::{Reading, Share};
 use myrtlegauge::values::{self, flag, list, number};
 use myrtlegauge_wire::clock::Clock;
-use myrtlegauge_wire::places::Places;
+use myrtlegauge_wire::host_registry::HostRegistry;
 use myrtlegauge_wire::protocol::changelog::{Endpoint, Purge};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap};
@@ -75,7 +75,7 @@
     router: Router,
     bell: Bell,
     wakes: Duration,
-    places: Places,
+    places: HostRegistry,
     clock: Clock,
     hosts: Vec<Known>,
     by_address: HashMap<SocketAddr, HostIndex>,
@@ -118,7 +118,7 @@
             router: Router::new(facts, seed)?,
             bell: Bell::default(),
             wakes: Duration::ZERO,
-            places: Places::new(facts)?,
+            places: HostRegistry::new(facts)?,
             clock,
             hosts: Vec::new(),
             by_address: HashMap::new(),
@@ -170,7 +170,7 @@
 
     /// The host of this name now.
     pub fn named(&self, name: &str) -> Option<HostIndex> {
-        self.places.known(name).filter(|&host| self.hosts[host].gone_at.is_none())
+        self.places.index_of(name).filter(|&host| self.hosts[host].gone_at.is_none())
     }
 
     pub fn service(&self, name: &str) -> Option<usize> {
@@ -190,7 +190,7 @@
             }
         }
         for line in lines {
-            let (index, new) = self.places.host(&line.name);
+            let (index, new) = self.places.register(&line.name);
             if new {
                 let entry = Entry { host: index, units: 1.0, ..Entry::default() };
                 let known = Known {
@@ -206,7 +206,7 @@
                     None => self.hosts.push(known),
                 }
             }
-            let (entry, fault) = self.places.entry(&self.hosts[index].entry, line, &self.clock, now);
+            let (entry, fault) = self.places.resolve_entry(&self.hosts[index].entry, line, &self.clock, now);
             if let Some(what) = fault {
                 self.faults += 1;
                 log::warn!(host = &*line.name; "a host's line has {what}: taken as gone");
@@ -308,7 +308,7 @@
                 && host.gone_at.is_some_and(|at| now >= at + FORGET)
                 && host.line.is_none()
             {
-                self.places.forget(std::mem::take(&mut host.name).as_bytes());
+                self.places.unregister(std::mem::take(&mut host.name).as_bytes());
                 if let Some(address) = host.address.take() {
                     self.by_address.remove(&address);
                 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -13,11 +13,11 @@
 use envoy_types::pb::envoy::service::status::v3::ClientStatusResponse;
 use myrtlegauge_operator::OperatorFile;
 use myrtlegauge_operator::file::Control;
+use myrtlegauge_wire::change_log_client::{ChangeLogClient, SequenceCheck};
 use myrtlegauge_wire::clock::Clock;
-use myrtlegauge_wire::feed::{Feed, Step};
-use myrtlegauge_wire::protocol::Fault;
+use myrtlegauge_wire::protocol::StreamError;
 use myrtlegauge_wire::protocol::changelog::{Change, Changes};
-use myrtlegauge_wire::transport::{Accounts, Owner};
+use myrtlegauge_wire::transport::{ReadinessHandler, ResourceUsage};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -69,12 +69,12 @@
     exchange: Exchange,
     reports: Reports,
     zones: Option<Zoning>,
-    feed: Option<Feed<Service>>,
+    feed: Option<ChangeLogClient<Service>>,
     feed_stirred: bool,
     /// The number and the content of the last event that was taken.
     last_event: (u64, u64),
     hub: LoopHandle<'static, Self>,
-    accounts: Rc<Accounts>,
+    accounts: Rc<ResourceUsage>,
     shared: Vec<u8>,
     heard: Vec<Heard>,
     showing: VecDeque<(oneshot::Sender<Result<ClientStatusResponse, String>>, shown::Showing)>,
@@ -89,10 +89,10 @@
     done: bool,
 }
 
-impl Owner for Service {
+impl ReadinessHandler for Service {
     type Key = ChangeLog;
 
-    fn ready(&mut self, _: ChangeLog) {
+    fn on_socket_ready(&mut self, _: ChangeLog) {
         self.feed_stirred = true;
     }
 }
@@ -145,11 +145,11 @@
             exchange: Exchange::new(lease, control.most_proxies),
             reports: Reports::new(control.reports_every, now),
             zones: Zoning::of(file, control.reports_every, now),
-            feed: control.change_log.map(|address| Feed::new(address, ChangeLog).overlapping()),
+            feed: control.change_log.map(|address| ChangeLogClient::new(address, ChangeLog).with_overlap()),
             feed_stirred: false,
             last_event: (0, 0),
             hub,
-            accounts: Rc::new(Accounts::default()),
+            accounts: Rc::new(ResourceUsage::default()),
             shared: vec![0; SHARED],
             heard: Vec::new(),
             showing: VecDeque::new(),
@@ -194,7 +194,7 @@
     }
 
     fn patience(&self) -> Duration {
-        let feed = self.feed.as_ref().map_or(Duration::MAX, |feed| feed.due);
+        let feed = self.feed.as_ref().map_or(Duration::MAX, |feed| feed.deadline);
         let mut due = self.look_at.min(self.exchange.due(self.now)).min(self.reports.due()).min(feed);
         if self.blocked {
             due = due.min(self.now + BLOCKED);
@@ -254,61 +254,61 @@
     /// The change log's answers.
     fn follow(&mut self) {
         let Some(mut feed) = self.feed.take() else { return };
-        self.counters.polls_lost += u64::from(feed.tend(&self.hub, &self.accounts, self.now));
+        self.counters.polls_lost += u64::from(feed.poll_if_due(&self.hub, &self.accounts, self.now));
         let mut more = std::mem::take(&mut self.feed_stirred);
         while more {
             more = feed.on_ready(&mut self.shared, self.now);
             loop {
-                match feed.next(self.now) {
+                match feed.next_answer(self.now) {
                     Ok(Some(body)) => self.polled(&mut feed, &body),
                     Ok(None) => break,
-                    Err(Fault(what)) => {
+                    Err(StreamError(what)) => {
                         self.counters.polls_lost += 1;
                         self.fault(what);
-                        feed.lose(self.now);
+                        feed.disconnect(self.now);
                         break;
                     }
                 }
             }
         }
-        self.counters.polls_lost += u64::from(feed.tend(&self.hub, &self.accounts, self.now));
+        self.counters.polls_lost += u64::from(feed.poll_if_due(&self.hub, &self.accounts, self.now));
         self.feed = Some(feed);
     }
 
-    fn polled(&mut self, feed: &mut Feed<Self>, body: &[u8]) {
+    fn polled(&mut self, feed: &mut ChangeLogClient<Self>, body: &[u8]) {
         let changes: Changes<'_> = match serde_json::from_slice(body) {
             Ok(changes) => changes,
             Err(e) => {
                 self.counters.polls_lost += 1;
                 self.fault(&format!("an answer of the change log can't be read: {e}"));
-                return feed.lose(self.now);
+                return feed.disconnect(self.now);
             }
         };
         // Its numbers went back, or the last event that was taken is another now.
         let said = |change: &Change<'_>| twox_hash::XxHash64::oneshot(0, format!("{change:?}").as_bytes());
         let other =
-            |change: &Change<'_>| change.number == self.last_event.0 && said(change) != self.last_event.1;
-        if changes.last < feed.last || changes.results.iter().any(other) {
+            |change: &Change<'_>| change.seq == self.last_event.0 && said(change) != self.last_event.1;
+        if changes.last_seq < feed.last_seq || changes.results.iter().any(other) {
             self.counters.logs_anew += 1;
-            feed.begin_anew(self.now);
+            feed.resync_from_start(self.now);
             self.last_event = (0, 0);
-            return log::warn!(last = changes.last; "the change log began anew: asked for all");
+            return log::warn!(last = changes.last_seq; "the change log began anew: asked for all");
         }
-        let before = feed.last;
+        let before = feed.last_seq;
         for change in &changes.results {
-            match feed.step(change.number, self.now) {
-                Step::Known => continue,
-                Step::Missing(last) => {
-                    return self.fault(&format!("the change log went from {last} to {}", change.number));
+            match feed.accept(change.seq, self.now) {
+                SequenceCheck::Duplicate => continue,
+                SequenceCheck::GapRetried(last) => {
+                    return self.fault(&format!("the change log went from {last} to {}", change.seq));
                 }
-                Step::Beyond(last) => {
-                    self.fault(&format!("the change log went from {last} to {}", change.number));
+                SequenceCheck::GapAccepted(last) => {
+                    self.fault(&format!("the change log went from {last} to {}", change.seq));
                 }
-                Step::Next => {}
+                SequenceCheck::Next => {}
             }
             self.counters.events += 1;
             self.changed = true;
-            self.last_event = (change.number, said(change));
+            self.last_event = (change.seq, said(change));
             if let Some(fleet) = &change.fleet {
                 self.fleet.listed(&fleet.endpoints, fleet.snapshot, self.now);
                 // Nothing is said before the first whole list: it would be taken for all there is.
@@ -320,8 +320,8 @@
                 self.fleet.purged(purge, self.now);
             }
         }
-        if feed.last == before {
-            feed.brought_nothing(self.now);
+        if feed.last_seq == before {
+            feed.on_empty_answer(self.now);
         }
     }
 
--- a/crates/dispatcher/src/routing/answers.rs
+++ b/crates/dispatcher/src/routing/answers.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use myrtlegauge::interface::{Get, Place};
 use myrtlegauge_wire::protocol::fastcgi::{self, Message, Request};
-use myrtlegauge_wire::protocol::{Fault, resp};
+use myrtlegauge_wire::protocol::{StreamError, resp};
 use std::time::Duration;
 
 impl Proxy {
@@ -41,29 +41,29 @@
             }
             return false;
         }
-        match client.next(&accounts.requests, *now) {
+        match client.next(&accounts.request_bytes, *now) {
             Ok(Some(Message::Request(request))) => {
-                let Request { number, keep_conn, long, .. } = request;
+                let Request { number, keep_conn, size, .. } = request;
                 client.asked = true;
                 client.last |= !keep_conn;
-                if closing || full && client.holds() + long > share {
+                if closing || full && client.holds() + size > share {
                     // It was never sent on: trying again, elsewhere, is harmless.
                     counters.refused += 1;
-                    client.connection.push(fastcgi::end_overloaded(number));
+                    client.connection.enqueue(fastcgi::end_request_overloaded(number));
                     dirty.push(Who::Client(key));
                 } else {
-                    accounts.requests.add(long);
-                    client.open.push((number, Owed { place: None, long }));
+                    accounts.request_bytes.add(size);
+                    client.open.push((number, Owed { place: None, long: size }));
                     self.asked.push_back(Asked { key, request });
                 }
             }
             Ok(Some(Message::Reply(bytes))) => {
-                client.connection.push(bytes);
+                client.connection.enqueue(bytes);
                 dirty.push(Who::Client(key));
             }
             Ok(Some(Message::Abort(number))) => {
                 if let Some(owed) = client.close(number) {
-                    client.connection.push(fastcgi::end_aborted(number));
+                    client.connection.enqueue(fastcgi::end_request_aborted(number));
                     dirty.push(Who::Client(key));
                     self.call_off(key, number, owed);
                 }
@@ -71,9 +71,9 @@
             Ok(Some(Message::Refuse(number))) => self.refuse(key, number),
             Ok(None) => {
                 if full && client.holds() > share {
-                    while let Some(number) = client.refuse_older(&accounts.requests, Duration::MAX) {
+                    while let Some(number) = client.refuse_older(&accounts.request_bytes, Duration::MAX) {
                         counters.refused += 1;
-                        client.connection.push(fastcgi::end_overloaded(number));
+                        client.connection.enqueue(fastcgi::end_request_overloaded(number));
                         dirty.push(Who::Client(key));
                     }
                 }
@@ -84,7 +84,7 @@
                 }
                 return false;
             }
-            Err(Fault(what)) => {
+            Err(StreamError(what)) => {
                 self.fault(format_args!("a client's connection is closed: {what}"));
                 self.close_client(key);
                 return false;
@@ -106,8 +106,8 @@
 
     /// Takes a request, if it is a GET that can be used; anything else is answered here.
     pub fn take(&mut self, key: Key, place: Place, mut request: Request) -> Option<Get> {
-        request.held = codec::bare(&request.held);
-        let (number, long) = (request.number, request.long);
+        request.held_version = codec::bare(&request.held_version);
+        let (number, long) = (request.number, request.size);
         let (mut get, id) = (self.codec.get(&request), codec::hex(&request.id).unwrap_or_default());
         if let (Some(get), Some(zones)) = (&mut get, &self.zones) {
             get.over = zones.is_over(myrtlegauge::reading::key(get.object, get.part));
@@ -126,7 +126,7 @@
                 let path = request.path.escape_ascii();
                 self.fault(format_args!("a request for {path} can't be used"));
             }
-            self.accounts.requests.take(long);
+            self.accounts.request_bytes.subtract(long);
             self.clients.get_mut(key)?.close(number);
             self.write_answer(key, number, &answer);
             return None;
@@ -150,7 +150,7 @@
         if let Some(client) = clients.get_mut(key) {
             answer.head(text);
             let body = if let Answer::Returned(body) = answer { body.clone() } else { Bytes::new() };
-            fastcgi::answer(pen, number, text, body, |bytes| _ = client.connection.push(bytes));
+            fastcgi::write_response(pen, number, text, body, |bytes| _ = client.connection.enqueue(bytes));
             self.dirty.push(Who::Client(key));
             if client.last {
                 self.heard_clients.push_back(key);
@@ -230,7 +230,7 @@
             Some(place) => self.abandon(place),
             None => {
                 self.asked.retain(|asked| asked.key != key || asked.request.number != number);
-                self.accounts.requests.take(owed.long);
+                self.accounts.request_bytes.subtract(owed.long);
                 self.counters.left_before += 1;
             }
         }
@@ -240,7 +240,7 @@
     fn remove_client(&mut self, key: Key) -> Client {
         let client = self.clients.remove(key);
         self.check_closed(client.ended, client.open.len());
-        self.accounts.requests.take(client.reader.long());
+        self.accounts.request_bytes.subtract(client.reader.buffered_bytes());
         for &(number, owed) in &client.open {
             self.call_off(key, number, owed);
         }
@@ -258,16 +258,16 @@
             return;
         }
         let client = self.remove_client(key);
-        self.closing.begin(Who::Client(key), client.connection, &mut self.shared, self.now);
+        self.closing.start_close(Who::Client(key), client.connection, &mut self.shared, self.now);
     }
 
     /// The answer that a host's answer makes; none where it can't be one. A client's copy is called current only where its
     /// tag went with the forward and the host names that tag.
-    pub fn returned(&mut self, place: Place, names_copy: bool, answer: resp::Answer) -> Option<Answer> {
-        if &answer.word[..] != b"304" {
+    pub fn returned(&mut self, place: Place, names_copy: bool, answer: resp::Reply) -> Option<Answer> {
+        if &answer.status[..] != b"304" {
             return Some(Answer::Returned(answer.body));
         }
-        let held = &self.in_flight.at(place).request.held;
+        let held = &self.in_flight.at(place).request.held_version;
         let is_current = names_copy && answer.field("rev") == Some(&held[..]);
         is_current.then_some(Answer::NotModified)
     }
--- a/crates/dispatcher/src/routing/clients.rs
+++ b/crates/dispatcher/src/routing/clients.rs
@@ -3,15 +3,15 @@
 use super::Dispatcher;
 use bytes::Bytes;
 use myrtlegauge::interface::Place;
-use myrtlegauge_wire::protocol::Fault;
-use myrtlegauge_wire::protocol::fastcgi::{Message, Reader};
+use myrtlegauge_wire::protocol::StreamError;
+use myrtlegauge_wire::protocol::fastcgi::{Message, RequestReader};
 use myrtlegauge_wire::transport::{Connection, Gauge};
 use std::io::Write;
 use std::time::Duration;
 
 pub struct Client {
     pub connection: Connection<Dispatcher>,
-    pub reader: Reader,
+    pub reader: RequestReader,
     /// Requests that are owed an answer, by their numbers.
     pub open: Vec<(u16, Owed)>,
     /// To be closed once nothing is open and all is written.
@@ -45,7 +45,7 @@
     pub fn new(connection: Connection<Dispatcher>, now: Duration) -> Self {
         Self {
             connection,
-            reader: Reader::default(),
+            reader: RequestReader::default(),
             open: Vec::new(),
             last: false,
             reads_no_further: false,
@@ -60,12 +60,12 @@
     }
 
     pub fn quiet(&self) -> bool {
-        self.open.is_empty() && self.connection.waiting() == 0
+        self.open.is_empty() && self.connection.unsent_bytes() == 0
     }
 
     /// Quiet, and with no request on its way.
     pub fn rests(&self) -> bool {
-        self.quiet() && self.reader.is_empty() && self.connection.unread() == 0
+        self.quiet() && self.reader.is_empty() && self.connection.unparsed_bytes() == 0
     }
 
     /// At rest; or never heard of but for bytes that made no request.
@@ -74,14 +74,14 @@
     }
 
     /// The next message of what came; requests that are not yet whole are counted as held.
-    pub fn next(&mut self, requests: &Gauge, now: Duration) -> Result<Option<Message>, Fault> {
-        let (before, unread) = (self.reader.long(), self.connection.unread());
+    pub fn next(&mut self, requests: &Gauge, now: Duration) -> Result<Option<Message>, StreamError> {
+        let (before, unread) = (self.reader.buffered_bytes(), self.connection.unparsed_bytes());
         let Self { connection, reader, open, .. } = self;
-        let next = connection.parse(|inbound| reader.next(inbound, open, now));
-        requests.add(self.reader.long());
-        requests.take(before);
-        self.part_since = self.part_since.filter(|_| self.connection.unread() == unread);
-        if self.connection.unread() > 0 {
+        let next = connection.parse(|inbound| reader.next_message(inbound, open, now));
+        requests.add(self.reader.buffered_bytes());
+        requests.subtract(before);
+        self.part_since = self.part_since.filter(|_| self.connection.unparsed_bytes() == unread);
+        if self.connection.unparsed_bytes() > 0 {
             self.part_since.get_or_insert(now);
         }
         next
@@ -90,14 +90,14 @@
     /// Bytes that its requests hold here, whole or not.
     pub fn holds(&self) -> usize {
         let open: usize = self.open.iter().map(|(_, owed)| owed.long).sum();
-        open + self.reader.long() + self.connection.unread()
+        open + self.reader.buffered_bytes() + self.connection.unparsed_bytes()
     }
 
     /// A request that was begun before `then` and is not yet whole; it is refused.
     pub fn refuse_older(&mut self, requests: &Gauge, then: Duration) -> Option<u16> {
-        let before = self.reader.long();
-        let refused = self.reader.refuse_older(then);
-        requests.take(before - self.reader.long());
+        let before = self.reader.buffered_bytes();
+        let refused = self.reader.refuse_older_than(then);
+        requests.subtract(before - self.reader.buffered_bytes());
         refused
     }
 
--- a/crates/dispatcher/src/routing/codec.rs
+++ b/crates/dispatcher/src/routing/codec.rs
@@ -4,7 +4,7 @@
 use myrtlegauge::interface::{End, Get, Load, Note, Values, span};
 use myrtlegauge::values::flag;
 use myrtlegauge_wire::protocol::fastcgi::Request;
-use myrtlegauge_wire::protocol::resp::Answer;
+use myrtlegauge_wire::protocol::resp::Reply;
 
 pub struct Codec {
     pub services: Vec<Bytes>,
@@ -31,7 +31,7 @@
     /// missing or unusable. What comes this far goes on to hosts as it came.
     pub fn get(&self, request: &Request) -> Option<Get> {
         let service = request.path.strip_prefix(b"/rpc/")?;
-        let usable = !request.spoilt && request.id.len() == KEY_LONG && hex(&request.id).is_some();
+        let usable = !request.is_malformed && request.id.len() == KEY_LONG && hex(&request.id).is_some();
         let budget = number(&request.budget).filter(|&ms| ms <= BUDGET_MOST)?;
         // What does not name an object, a write for one, goes without.
         let or_none = |read: fn(&[u8]) -> Option<u64>, bytes: &[u8]| match bytes {
@@ -39,11 +39,11 @@
             _ => read(bytes),
         };
         let listable = |field: &[u8]| field.len() <= TAG_LONG && is_token(field);
-        let held = listable(&request.held) && listable(&request.token);
+        let held = listable(&request.held_version) && listable(&request.token);
         Some(Get {
             ds: self.services.iter().position(|name| name == service).filter(|_| usable && held)?,
             object: or_none(|key| hex(key).filter(|_| key.len() == KEY_LONG), &request.key)?,
-            part: u32::try_from(or_none(digits, &request.part)?).ok()?,
+            part: u32::try_from(or_none(digits, &request.chunk)?).ok()?,
             group: or_none(digits, &request.group).filter(|&group| group <= GROUP_MOST)?,
             size_kb: 0.0,
             viewer_timeout: span(budget),
@@ -54,18 +54,18 @@
 
     /// Whether a request is marked as a try after the first. It changes no byte: a mark that can't be read is none.
     fn is_retry(request: &Request) -> bool {
-        let first = request.first.len() == KEY_LONG && hex(&request.first).is_some();
+        let first = request.first_id.len() == KEY_LONG && hex(&request.first_id).is_some();
         first && digits(&request.attempt).is_some_and(|number| number > 0)
     }
 
     /// How an answer ends a forward; none for a word that is not known, or without the fields of a copy where the
     /// answer must be one.
-    pub fn end(&self, ds: usize, answer: &Answer) -> Option<End> {
+    pub fn end(&self, ds: usize, answer: &Reply) -> Option<End> {
         let copy = || {
             let tag = answer.field("rev").is_some_and(|tag| !tag.is_empty() && is_token(tag));
             tag && answer.field("since").and_then(number).is_some()
         };
-        Some(match &answer.word[..] {
+        Some(match &answer.status[..] {
             b"200" if !self.copies[ds] || copy() => End::Returned,
             b"304" if self.copies[ds] && copy() => End::Returned,
             b"404" => End::Miss,
@@ -113,7 +113,7 @@
     std::str::from_utf8(bytes).ok()?.trim().parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
-pub fn note(answer: &Answer) -> Note {
+pub fn note(answer: &Reply) -> Note {
     match answer.field("why").unwrap_or_default() {
         b"TCP_HIT" => Note::Hit,
         b"TCP_MISS" => Note::Filled,
@@ -130,7 +130,7 @@
 }
 
 /// The load report of an answer, by the settings' names or the page's.
-pub fn load(answer: &Answer) -> Load {
+pub fn load(answer: &Reply) -> Load {
     let mut load = Load::default();
     for pair in answer.field("rep").unwrap_or_default().split(|&b| b == b';') {
         let Some(colon) = pair.iter().position(|&b| b == b':') else { continue };
--- a/crates/dispatcher/src/routing/forwards.rs
+++ b/crates/dispatcher/src/routing/forwards.rs
@@ -8,7 +8,7 @@
 use super::{Key, Who};
 use myrtlegauge::host_life::EndEvidence;
 use myrtlegauge::interface::{Dispatch, End, Forward, HostIndex, Load, Note, Outcome, Place, span};
-use myrtlegauge_wire::protocol::{Fault, resp};
+use myrtlegauge_wire::protocol::{StreamError, resp};
 use myrtlegauge_wire::transport::Connection;
 use std::cmp::Reverse;
 use std::fmt::Arguments;
@@ -91,7 +91,7 @@
         let pending = self.in_flight.at(place);
         let clear = pending.owed.is_none() && pending.out.is_none();
         self.counters.must(clear, "a GET that is over has no forward out and its answer");
-        self.accounts.requests.take(self.in_flight.at(place).request.long);
+        self.accounts.request_bytes.subtract(self.in_flight.at(place).request.size);
         self.in_flight.clear(place);
     }
 
@@ -132,7 +132,7 @@
         }
         let key = self.links.next_key();
         let address = self.hosts[host].address.ok_or(End::NoConnection)?;
-        let opening = Connection::opening(&self.hub, address, Who::Link(key), &self.accounts);
+        let opening = Connection::connect(&self.hub, address, Who::Link(key), &self.accounts);
         // What is amiss on this side is not held against the host.
         let here =
             |e: io::Error| !matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::HostUnreachable);
@@ -174,7 +174,7 @@
         text.clear();
         put(text, "lane=", &codec.services[pending.get.ds]);
         for (name, value) in
-            [(",name=", &request.key), (",piece=", &request.part), (",dedupe=", &request.token)]
+            [(",name=", &request.key), (",piece=", &request.chunk), (",dedupe=", &request.token)]
         {
             if !value.is_empty() {
                 put(text, name, value);
@@ -198,13 +198,13 @@
             before = "+";
         }
         // A client's copy is not called current before all purges are known.
-        if !request.held.is_empty() && startup.is_log_synced() && doubted.is_none() {
-            put(text, ",inm=", &request.held);
+        if !request.held_version.is_empty() && startup.is_log_synced() && doubted.is_none() {
+            put(text, ",inm=", &request.held_version);
             out.names_copy = true;
         }
-        resp::serve(pen, &request.id, text, &request.body);
+        resp::write_serve(pen, &request.id, text, &request.body);
         let link = &mut links[key];
-        out.message = Some(link.connection.push(pen.split().freeze()));
+        out.message = Some(link.connection.enqueue(pen.split().freeze()));
         self.dirty.push(Who::Link(key));
     }
 
@@ -263,7 +263,7 @@
         for place in std::mem::take(&mut self.links[key].out) {
             let Some(out) = self.in_flight.at(place).out.as_mut() else { continue };
             out.link = None;
-            let left = out.message.is_some_and(|message| self.links[key].connection.has_left(message));
+            let left = out.message.is_some_and(|message| self.links[key].connection.is_written(message));
             let end = match (left, std::mem::replace(&mut told, true)) {
                 (true, false) => end,
                 (true, true) => End::Spoilt,
@@ -277,7 +277,7 @@
     /// Closes a connection that nothing is out on, in steps.
     pub fn close_link(&mut self, key: Key) {
         let link = self.take_link(key);
-        self.closing.begin(Who::Link(key), link.connection, &mut self.shared, self.now);
+        self.closing.start_close(Who::Link(key), link.connection, &mut self.shared, self.now);
     }
 
     pub fn drop_link(&mut self, key: Key) {
@@ -304,7 +304,7 @@
     /// Whether not a byte of a forward has gone out, so that it never will.
     fn take_back(&mut self, out: &Out) -> bool {
         let Some(key) = out.link else { return false };
-        out.message.is_none_or(|message| self.links[key].connection.take_back(message))
+        out.message.is_none_or(|message| self.links[key].connection.cancel_unsent(message))
     }
 
     /// A forward's time is up.
@@ -331,8 +331,8 @@
         // a word, and another connection tells. Hurts only by a handshake where a host is slow and all alone.
         link.retired |= out.message.is_some() && link.heard_at <= out.at && now >= out.at + connect;
         if sent && cancel {
-            resp::cancel(pen, &in_flight.at(place).request.id);
-            link.connection.push(pen.split().freeze());
+            resp::write_cancel(pen, &in_flight.at(place).request.id);
+            link.connection.enqueue(pen.split().freeze());
             self.dirty.push(Who::Link(key));
         }
         sent
@@ -353,10 +353,10 @@
         loop {
             let Self { links, in_flight, .. } = self;
             let link = links.get_mut(key)?;
-            let answer = match link.connection.parse(resp::next) {
+            let answer = match link.connection.parse(resp::next_reply) {
                 Ok(Some(answer)) => answer,
                 Ok(None) => {
-                    let part = link.connection.unread() > 0;
+                    let part = link.connection.unparsed_bytes() > 0;
                     if link.ended {
                         self.counters.links_broken += 1;
                         let host = link.host;
@@ -367,7 +367,7 @@
                     }
                     return None;
                 }
-                Err(Fault(what)) => {
+                Err(StreamError(what)) => {
                     self.fault(format_args!("a host's connection is closed: {what}"));
                     self.end_link(key, End::Spoilt);
                     return None;
@@ -386,7 +386,7 @@
             link.used_at = self.now;
             let ds = self.in_flight.at(place).get.ds;
             let end = self.codec.end(ds, &answer).unwrap_or_else(|| {
-                self.fault(format_args!("a host answers {} and no more", answer.word.escape_ascii()));
+                self.fault(format_args!("a host answers {} and no more", answer.status.escape_ascii()));
                 End::Spoilt
             });
             if let Some(outcome) = self.answered(place, end, answer) {
@@ -395,7 +395,7 @@
         }
     }
 
-    fn answered(&mut self, place: Place, mut end: End, answer: resp::Answer) -> Option<Outcome> {
+    fn answered(&mut self, place: Place, mut end: End, answer: resp::Reply) -> Option<Outcome> {
         let pending = self.in_flight.at(place);
         let out = pending.out.take();
         if end != End::Returned {
--- a/crates/dispatcher/src/routing/mod.rs
+++ b/crates/dispatcher/src/routing/mod.rs
@@ -26,11 +26,11 @@
 use myrtlegauge_membership::driver::{self, Member};
 pub use myrtlegauge_replication::SubscriberDefences;
 use myrtlegauge_replication::{HostLine, Purge, PurgeTarget};
+use myrtlegauge_wire::change_log_client::ChangeLogClient;
 use myrtlegauge_wire::clock::Clock;
-use myrtlegauge_wire::feed::Feed;
-use myrtlegauge_wire::places::Places;
+use myrtlegauge_wire::host_registry::HostRegistry;
 use myrtlegauge_wire::protocol::changelog;
-use myrtlegauge_wire::transport::{Accounts, Hub, Listener, Owner};
+use myrtlegauge_wire::transport::{EventLoopHandle, Listener, ReadinessHandler, ResourceUsage};
 pub use proxy::{Lines, Proxy, Room};
 use replicas::{Change, Replicas};
 pub use replicas::{ReplicaKey, ReplicasStartup};
@@ -75,16 +75,16 @@
     member: Option<Member<Dispatcher>>,
 }
 
-impl Owner for Dispatcher {
+impl ReadinessHandler for Dispatcher {
     type Key = Who;
 
-    fn ready(&mut self, who: Who) {
+    fn on_socket_ready(&mut self, who: Who) {
         self.proxy.ready.push(who);
     }
 }
 
 impl Dispatcher {
-    pub fn start(hub: Hub<Self>, mut startup: Startup<'_>) -> Result<Self, String> {
+    pub fn start(hub: EventLoopHandle<Self>, mut startup: Startup<'_>) -> Result<Self, String> {
         let mut router = Router::new(startup.facts, startup.seed)?;
         if !startup.guards.starting {
             router.leave_slow_start_unlimited();
@@ -92,13 +92,13 @@
         if !startup.guards.repeating {
             router.leave_repeats_unguarded();
         }
-        let accounts = Rc::new(Accounts::default());
-        let listener = Listener::open(&hub, startup.listen, Who::Listener, &accounts)
+        let accounts = Rc::new(ResourceUsage::default());
+        let listener = Listener::bind(&hub, startup.listen, Who::Listener, &accounts)
             .map_err(|e| format!("can't listen on {}: {e}", startup.listen))?;
-        let feed = Feed::new(startup.changelog, Who::Feed);
+        let feed = ChangeLogClient::new(startup.changelog, Who::Feed);
         let names = (
             Codec::new(startup.facts)?,
-            Places::new(startup.facts)?,
+            HostRegistry::new(startup.facts)?,
             proxy::ConnectionLimits::read(startup.facts),
         );
         let port = startup.zones.take();
@@ -112,7 +112,7 @@
                 }
             });
             into.map_err(|e| format!("news of zones can't be heard: {e}"))?;
-            let names = proxy.places.zones().to_vec();
+            let names = proxy.places.zone_names().to_vec();
             proxy.zones = Some(zones::Zones::new(names, every, report, proxy.now));
             proxy.zones_due = proxy.now;
         }
@@ -126,7 +126,7 @@
         let mut started = Self { router, proxy, member };
         let now = started.proxy.now;
         started.router.round(now, &mut started.proxy, |round| {
-            let last = startup.known.last;
+            let last = startup.known.last_seq;
             let known = round.writer().list_known;
             round.list_known(known);
             tell_changes(round, startup.known, ListKind::Kept);
@@ -257,7 +257,7 @@
         if self.proxy.replicas.is_some() {
             log::warn!("replicas are polled: where they are can't change while running");
         } else if let Some(changelog) = changelog {
-            self.proxy.feed.follow(changelog, self.proxy.now);
+            self.proxy.feed.set_address(changelog, self.proxy.now);
         }
     }
 
@@ -277,12 +277,12 @@
 
     /// Bytes in all buffers.
     pub fn buffered(&self) -> usize {
-        self.proxy.accounts.buffered.level()
+        self.proxy.accounts.buffered_bytes.current()
     }
 
     /// The most bytes that have been in all buffers at once.
     pub fn buffered_peak(&self) -> usize {
-        self.proxy.accounts.buffered.peak()
+        self.proxy.accounts.buffered_bytes.peak()
     }
 
     /// Connections of clients, those that are being closed left out.
@@ -331,11 +331,11 @@
 /// Each numbered event once, in order; `whole` is what a whole list counts as.
 fn tell_changes(round: &mut Round<'_, Proxy>, changes: changelog::Changes<'_>, whole: ListKind) {
     let now = round.writer().now;
-    changes.stamps().for_each(|stamp| round.writer().clock.heard(stamp, now));
+    changes.remote_timestamps_ms().for_each(|stamp| round.writer().clock.record_remote_timestamp(stamp, now));
     let offset = round.writer().clock.unix_offset();
     round.unix_offset(offset);
     for change in &changes.results {
-        match round.writer().is_next(change.number) {
+        match round.writer().is_next(change.seq) {
             Some(true) => {}
             Some(false) => continue,
             None => return,
--- a/crates/dispatcher/src/routing/news.rs
+++ b/crates/dispatcher/src/routing/news.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use myrtlegauge::host_life::{EndEvidence, is_to_new_process};
 use myrtlegauge::interface::{End, Entry, HostIndex, Purged, Standing};
-use myrtlegauge_wire::feed::Step;
-use myrtlegauge_wire::protocol::Fault;
+use myrtlegauge_wire::change_log_client::SequenceCheck;
+use myrtlegauge_wire::protocol::StreamError;
 use myrtlegauge_wire::protocol::changelog::Endpoint;
 use std::fmt::Arguments;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     pub fn poll(&mut self) {
         let Self { replicas, hub, accounts, now, .. } = self;
         let Some(replicas) = replicas else {
-            let is_lost = self.feed.tend(&self.hub, &self.accounts, self.now);
+            let is_lost = self.feed.poll_if_due(&self.hub, &self.accounts, self.now);
             self.counters.polls_failed += u64::from(is_lost);
             return;
         };
@@ -39,7 +39,7 @@
 
     /// When the next poll is to be asked or given up.
     pub fn news_due(&self) -> Duration {
-        self.replicas.as_ref().map_or(self.feed.due, |replicas| replicas.due(self.now))
+        self.replicas.as_ref().map_or(self.feed.deadline, |replicas| replicas.due(self.now))
     }
 
     /// What a replica told that is to be applied next.
@@ -82,12 +82,12 @@
         if !std::mem::take(&mut self.feed_heard) {
             return None;
         }
-        match self.feed.next(self.now) {
+        match self.feed.next_answer(self.now) {
             Ok(body) => {
                 self.feed_heard = body.is_some();
                 body
             }
-            Err(Fault(what)) => {
+            Err(StreamError(what)) => {
                 self.unread(format_args!("{what}"));
                 None
             }
@@ -95,27 +95,27 @@
     }
 
     pub fn last_change(&self) -> u64 {
-        self.feed.last
+        self.feed.last_seq
     }
 
     /// An answer that could not be read is asked for again on a new connection.
     pub fn unread(&mut self, what: Arguments<'_>) {
         self.counters.polls_failed += 1;
         self.fault(what);
-        self.feed.lose(self.now);
+        self.feed.disconnect(self.now);
     }
 
     /// An answer was taken; `before` was the last event until then.
     pub fn polled(&mut self, before: u64) {
-        self.list_known = self.feed.asked_at();
-        if self.doubted.is_none_or(|woke| self.feed.asked_at() >= woke) {
+        self.list_known = self.feed.polled_at();
+        if self.doubted.is_none_or(|woke| self.feed.polled_at() >= woke) {
             self.doubted = None;
             if self.startup.log_synced(self.now) {
                 self.tell_return("whole");
             }
         }
-        if self.feed.last == before {
-            self.feed.brought_nothing(self.now);
+        if self.feed.last_seq == before {
+            self.feed.on_empty_answer(self.now);
         }
     }
 
@@ -130,7 +130,7 @@
             log::warn!(gap_ms; "nothing ran here for a while: copies are doubted until the change log has answered");
             if self.replicas.is_none() {
                 self.doubted = Some(now);
-                self.feed.hurry(now);
+                self.feed.poll_immediately(now);
             }
             self.doubt_processes(before);
             self.counters.gaps += 1;
@@ -171,21 +171,21 @@
 
     /// Whether an event has not been taken yet; none if others should have come before it.
     pub fn is_next(&mut self, number: u64) -> Option<bool> {
-        let step = self.feed.step(number, self.now);
-        if let Step::Missing(last) | Step::Beyond(last) = step {
+        let step = self.feed.accept(number, self.now);
+        if let SequenceCheck::GapRetried(last) | SequenceCheck::GapAccepted(last) = step {
             self.fault(format_args!("the change log went from {last} to {number}"));
         }
         let taken = match step {
-            Step::Known => Some(false),
-            Step::Missing(_) => None,
-            Step::Next | Step::Beyond(_) => Some(true),
+            SequenceCheck::Duplicate => Some(false),
+            SequenceCheck::GapRetried(_) => None,
+            SequenceCheck::Next | SequenceCheck::GapAccepted(_) => Some(true),
         };
         self.counters.changes += u64::from(taken == Some(true));
         taken
     }
 
     pub fn told_up_to(&mut self, last: u64) {
-        self.feed.last = self.feed.last.max(last);
+        self.feed.last_seq = self.feed.last_seq.max(last);
     }
 
     /// What a purge names. It counts from now on, when it is heard of: its time is another machine's claim, and late is safe.
@@ -213,7 +213,7 @@
             }
         }
         for line in lines {
-            let (index, new) = self.places.host(&line.name);
+            let (index, new) = self.places.register(&line.name);
             if new {
                 let host = Host {
                     name: Bytes::copy_from_slice(line.name.as_bytes()),
@@ -229,7 +229,7 @@
                 }
             }
             let Host { entry: known, address, .. } = &self.hosts[index];
-            let (entry, fault) = self.places.entry(known, line, &self.clock, self.now);
+            let (entry, fault) = self.places.resolve_entry(known, line, &self.clock, self.now);
             let address = line.address.parse().ok().or(*address);
             if let Some(what) = fault {
                 self.fault(format_args!("host {} has {what}: taken as gone", line.name));
@@ -263,7 +263,7 @@
         for host in &mut self.hosts {
             let over = host.gone_at.is_some_and(|at| self.now >= at + longest);
             if over && host.links.is_empty() && !host.name.is_empty() {
-                self.places.forget(&host.name);
+                self.places.unregister(&host.name);
                 self.counters.hosts_forgotten += 1;
                 (host.name, host.address) = (Bytes::new(), None);
             }
@@ -306,7 +306,7 @@
             link.out.retain(|&place| {
                 let pending = in_flight.at(place);
                 let out = pending.out.filter(|out| concerned(pending, out));
-                let unsent = |out: &Out| out.message.is_none_or(|message| connection.take_back(message));
+                let unsent = |out: &Out| out.message.is_none_or(|message| connection.cancel_unsent(message));
                 let out = out.filter(unsent);
                 if let Some(out) = out {
                     pending.out = Some(Out { link: None, ..out });
--- a/crates/dispatcher/src/routing/proxy.rs
+++ b/crates/dispatcher/src/routing/proxy.rs
@@ -16,11 +16,11 @@
 use myrtlegauge::interface::{End, Get, HostIndex, Note, Place, Values, span};
 use myrtlegauge::values::{self, flag, number};
 use myrtlegauge_recovery::{LossCause, StartupTimeline};
+use myrtlegauge_wire::change_log_client::ChangeLogClient;
 use myrtlegauge_wire::clock::Clock;
-use myrtlegauge_wire::feed::Feed;
-use myrtlegauge_wire::places::Places;
+use myrtlegauge_wire::host_registry::HostRegistry;
 use myrtlegauge_wire::protocol::fastcgi::Request;
-use myrtlegauge_wire::transport::{Accounts, Closing, Hub, Listener};
+use myrtlegauge_wire::transport::{ClosingConnections, EventLoopHandle, Listener, ResourceUsage};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::fmt::Arguments;
@@ -102,14 +102,14 @@
 }
 
 pub struct Proxy {
-    pub hub: Hub<Dispatcher>,
-    pub accounts: Rc<Accounts>,
+    pub hub: EventLoopHandle<Dispatcher>,
+    pub accounts: Rc<ResourceUsage>,
     pub counters: Counters,
     pub clock: Clock,
     /// The time of this round.
     pub now: Duration,
     pub codec: Codec,
-    pub places: Places,
+    pub places: HostRegistry,
     pub limits: ConnectionLimits,
     pub in_flight: InFlight,
     pub hosts: Vec<Host>,
@@ -138,13 +138,13 @@
     pub connected: Vec<HostIndex>,
     /// The list of hosts is known up to then.
     pub list_known: Duration,
-    pub closing: Closing<Dispatcher>,
+    pub closing: ClosingConnections<Dispatcher>,
     pub lifecycle: Lifecycle,
     pub dues: BinaryHeap<Reverse<(Duration, Due)>>,
     /// Where messages are written before they go out, and the fields or the head of one.
     pub pen: BytesMut,
     pub text: Vec<u8>,
-    pub feed: Feed<Dispatcher>,
+    pub feed: ChangeLogClient<Dispatcher>,
     pub feed_heard: bool,
     /// The replicas that are polled in place of the change log, where operators name them.
     pub replicas: Option<Replicas<Dispatcher>>,
@@ -241,11 +241,11 @@
 
 impl Proxy {
     pub fn new(
-        hub: Hub<Dispatcher>,
+        hub: EventLoopHandle<Dispatcher>,
         listener: Listener<Dispatcher>,
-        accounts: Rc<Accounts>,
-        feed: Feed<Dispatcher>,
-        (codec, places, limits): (Codec, Places, ConnectionLimits),
+        accounts: Rc<ResourceUsage>,
+        feed: ChangeLogClient<Dispatcher>,
+        (codec, places, limits): (Codec, HostRegistry, ConnectionLimits),
         room: Room,
         clock: Clock,
     ) -> Self {
@@ -279,7 +279,7 @@
             processes_ended: Vec::new(),
             connected: Vec::new(),
             list_known: clock.now(),
-            closing: Closing::new(part(CLOSING_PART)),
+            closing: ClosingConnections::new(part(CLOSING_PART)),
             lifecycle: Lifecycle::new(),
             dues: BinaryHeap::new(),
             pen: BytesMut::new(),
@@ -334,12 +334,12 @@
 
     /// No room for more answers until some have gone out.
     pub fn is_full(&self) -> bool {
-        self.accounts.buffered.level() > self.most_buffered
+        self.accounts.buffered_bytes.current() > self.most_buffered
     }
 
     /// No room for more requests either.
     pub fn is_full_of_requests(&self) -> bool {
-        self.accounts.buffered.level() + self.accounts.requests.level() > self.most_buffered
+        self.accounts.buffered_bytes.current() + self.accounts.request_bytes.current() > self.most_buffered
     }
 
     /// Bytes of requests that a client may hold here while there is no room for all: what one sends without end is refused, and
@@ -518,10 +518,10 @@
             self.clients.len(),
             self.links.len(),
             accounts.descriptors.peak(),
-            accounts.buffered.peak(),
-            accounts.requests.peak(),
-            accounts.bytes_in.level(),
-            accounts.bytes_out.level()
+            accounts.buffered_bytes.peak(),
+            accounts.request_bytes.peak(),
+            accounts.bytes_in.current(),
+            accounts.bytes_out.current()
         );
     }
 
--- a/crates/dispatcher/src/routing/replicas.rs
+++ b/crates/dispatcher/src/routing/replicas.rs
@@ -6,9 +6,9 @@
     Ask, ConfigurationError, HostLine, Incarnation, MemberName, PollAnswer, Purge, Record, ReplicaName,
     Subscriber, SubscriberConfig, SubscriberCounters, SubscriberDefences,
 };
-use myrtlegauge_wire::long_poll::LongPoll;
-use myrtlegauge_wire::protocol::Fault;
-use myrtlegauge_wire::transport::{Accounts, Hub, Owner};
+use myrtlegauge_wire::long_poll::LongPollClient;
+use myrtlegauge_wire::protocol::StreamError;
+use myrtlegauge_wire::transport::{EventLoopHandle, ReadinessHandler, ResourceUsage};
 use std::collections::VecDeque;
 use std::fmt;
 use std::net::SocketAddr;
@@ -44,26 +44,26 @@
     Fallback,
 }
 
-struct Link<O: Owner> {
+struct Link<O: ReadinessHandler> {
     name: ReplicaName,
-    poll: LongPoll<O>,
+    poll: LongPollClient<O>,
     /// When the poll that is out or was answered last was asked.
     asked_at: Duration,
 }
 
-impl<O: Owner> Link<O> {
+impl<O: ReadinessHandler> Link<O> {
     fn new(address: SocketAddr, key: O::Key) -> Self {
         // Replicas are told apart by where they listen.
         Self {
             name: ReplicaName(address.to_string()),
-            poll: LongPoll::new(address, key),
+            poll: LongPollClient::new(address, key),
             asked_at: Duration::ZERO,
         }
     }
 }
 
 /// The replicas as a dispatcher polls them.
-pub struct Replicas<O: Owner> {
+pub struct Replicas<O: ReadinessHandler> {
     core: Subscriber,
     links: [Link<O>; 2],
     /// Records that are still to be applied; until then nothing is acknowledged.
@@ -96,7 +96,7 @@
     }
 }
 
-impl<O: Owner> Replicas<O> {
+impl<O: ReadinessHandler> Replicas<O> {
     /// Nothing is known yet: copies are in doubt until the dispatcher is attached. `key_of` says how the owner is told
     /// which replica's poll is ready.
     ///
@@ -141,11 +141,11 @@
 
     /// Takes the next answer; why a poll was lost. None: nothing more came.
     pub fn hear(&mut self, now: Duration) -> Option<Result<(), LostPoll>> {
-        let outcome = |link: &mut Link<O>| Some((link.name.clone(), link.poll.next(now)?));
+        let outcome = |link: &mut Link<O>| Some((link.name.clone(), link.poll.take_result(now)?));
         let (name, answer) = self.links.iter_mut().find_map(outcome)?;
         Some(match answer {
             Ok(body) => self.take(&name, &body, now),
-            Err(Fault(what)) => {
+            Err(StreamError(what)) => {
                 self.core.failed(&name, now);
                 Err(LostPoll(format!("{name}: {what}")))
             }
@@ -168,7 +168,7 @@
     }
 
     /// Sends the polls that the core wants to be sent, once all that came was applied.
-    pub fn ask(&mut self, hub: &Hub<O>, accounts: &Rc<Accounts>, now: Duration) {
+    pub fn ask(&mut self, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>, now: Duration) {
         if self.has_news() || self.leaves_until.is_some() {
             return;
         }
@@ -177,10 +177,10 @@
         }
     }
 
-    fn send(&mut self, ask: &Ask, hub: &Hub<O>, accounts: &Rc<Accounts>, now: Duration) {
+    fn send(&mut self, ask: &Ask, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>, now: Duration) {
         if let Some(link) = self.links.iter_mut().find(|link| link.name == ask.to) {
             link.asked_at = now;
-            link.poll.ask(&ask.request.to_query(), ask.give_up_at, hub, accounts);
+            link.poll.start_poll(&ask.request.to_query(), ask.give_up_at, hub, accounts);
         }
     }
 
@@ -233,19 +233,19 @@
 
     /// When there is something to do, if nothing comes in.
     pub fn due(&self, now: Duration) -> Duration {
-        let polls = self.links.iter().map(|link| link.poll.due()).min().unwrap_or(Duration::MAX);
+        let polls = self.links.iter().map(|link| link.poll.deadline()).min().unwrap_or(Duration::MAX);
         let core = self.core.next_wake(now).filter(|_| self.leaves_until.is_none()).unwrap_or(Duration::MAX);
         polls.min(core).min(self.leaves_until.unwrap_or(Duration::MAX))
     }
 
     /// Tells the replica that this dispatcher ends; whether that is done, or was waited for long enough.
-    pub fn leave(&mut self, hub: &Hub<O>, accounts: &Rc<Accounts>, now: Duration) -> bool {
+    pub fn leave(&mut self, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>, now: Duration) -> bool {
         if self.leaves_until.is_none() {
             self.leaves_until = Some(now + LEAVES_FOR);
             let ask = self.core.leave(now);
             self.send(&ask, hub, accounts, now);
         }
-        let is_told = !self.links.iter().any(|link| link.poll.is_open());
+        let is_told = !self.links.iter().any(|link| link.poll.is_pending());
         is_told || self.leaves_until.is_some_and(|until| now >= until)
     }
 
--- a/crates/dispatcher/src/routing/sockets.rs
+++ b/crates/dispatcher/src/routing/sockets.rs
@@ -6,7 +6,7 @@
 use super::proxy::{Proxy, TIDY_EVERY};
 use super::{Dispatcher, Key, Who};
 use myrtlegauge::interface::End;
-use myrtlegauge_wire::transport::{Connection, Reading};
+use myrtlegauge_wire::transport::{Connection, ReadOutcome};
 use std::time::Duration;
 
 /// Time in which a request, and the first one on a connection, becomes whole; far over a slow network's round trips. It is
@@ -69,7 +69,7 @@
             return self.closing.on_ready(Who::Link(key), &mut self.shared).unwrap_or(false);
         };
         if !link.up {
-            match link.connection.is_up() {
+            match link.connection.is_connected() {
                 Ok(true) => self.link_up(key),
                 Ok(false) => return false,
                 Err(e) => self.link_failed(key, e.kind()),
@@ -79,10 +79,10 @@
         let full = self.is_full();
         let Self { links, shared, now, .. } = self;
         let link = &mut links[key];
-        let before = link.connection.unread();
+        let before = link.connection.unparsed_bytes();
         let (ended, again) = on_ready(&mut link.connection, shared, full, HOST_MOST);
         link.ended |= ended;
-        if link.connection.unread() > before {
+        if link.connection.unparsed_bytes() > before {
             link.heard_at = *now;
         }
         if again {
@@ -110,7 +110,8 @@
                     {}
                     let key = self.clients.next_key();
                     let who = Who::Client(key);
-                    if let Ok(connection) = Connection::accepted(&self.hub, stream, who, &self.accounts) {
+                    if let Ok(connection) = Connection::from_accepted(&self.hub, stream, who, &self.accounts)
+                    {
                         self.clients.insert(key, Client::new(connection, self.now));
                         self.counters.clients += 1;
                         self.ready.push(who);
@@ -149,10 +150,10 @@
     /// Reads a client's connection dry; whether something more has come.
     fn look_once_more(&mut self, key: Key) -> bool {
         let client = &mut self.clients[key];
-        let before = client.connection.unread();
+        let before = client.connection.unparsed_bytes();
         let reading = client.connection.read(&mut self.shared, CLIENT_MOST);
-        client.ended |= reading == Reading::Ended;
-        let more = client.connection.unread() > before;
+        client.ended |= reading == ReadOutcome::Closed;
+        let more = client.connection.unparsed_bytes() > before;
         if more || client.ended {
             self.heard_clients.push_back(key);
         }
@@ -258,8 +259,8 @@
         self.tidy_clients();
         let mut deaf = Vec::new();
         for (key, client) in self.clients.iter_mut() {
-            let flushed = client.connection.flushed();
-            if client.flushed != flushed || client.connection.waiting() == 0 {
+            let flushed = client.connection.written_bytes();
+            if client.flushed != flushed || client.connection.unsent_bytes() == 0 {
                 (client.flushed, client.flushed_at) = (flushed, now);
             } else if now >= client.flushed_at + longest {
                 // It has taken nothing of its answers for longer than any client waits.
@@ -297,7 +298,7 @@
             self.clients.iter().filter(|(_, c)| !c.idle() || !c.asked).map(|(k, _)| k).collect();
         for key in keys {
             while let Some(client) = self.clients.get_mut(key)
-                && let Some(number) = client.refuse_older(&self.accounts.requests, then)
+                && let Some(number) = client.refuse_older(&self.accounts.request_bytes, then)
             {
                 self.refuse(key, number);
             }
@@ -322,5 +323,5 @@
         return (false, true);
     }
     let reading = connection.read(shared, most);
-    (broken || reading == Reading::Ended, reading == Reading::More)
+    (broken || reading == ReadOutcome::Closed, reading == ReadOutcome::More)
 }
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -60,7 +60,7 @@
     let startup = Startup {
         listen: told.listen,
         changelog: told.change_log,
-        known: Changes { last: 0, results: Vec::new() },
+        known: Changes { last_seq: 0, results: Vec::new() },
         facts: &file.facts,
         seed: fastrand::u64(..),
         room: Room { descriptors: told.sockets, memory: told.memory_mb << 20 },
--- a/crates/lab/src/capacity/hollow/dispatcher.rs
+++ b/crates/lab/src/capacity/hollow/dispatcher.rs
@@ -13,12 +13,12 @@
 use myrtlegauge_dispatcher::routing::{ReplicaKey, ReplicasStartup, SubscriberDefences};
 use myrtlegauge_membership::driver::{self, Member};
 use myrtlegauge_replication::{Purge, PurgeTarget};
+use myrtlegauge_wire::change_log_client::{ChangeLogClient, SequenceCheck};
 use myrtlegauge_wire::clock::Clock;
-use myrtlegauge_wire::feed::{Feed, Step};
-use myrtlegauge_wire::places::Places;
-use myrtlegauge_wire::protocol::Fault;
+use myrtlegauge_wire::host_registry::HostRegistry;
+use myrtlegauge_wire::protocol::StreamError;
 use myrtlegauge_wire::protocol::changelog::{Changes, Endpoint};
-use myrtlegauge_wire::transport::{Accounts, Hub, Owner};
+use myrtlegauge_wire::transport::{EventLoopHandle, ReadinessHandler, ResourceUsage};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -53,10 +53,10 @@
     _member: Option<Member<HollowDispatcher>>,
 }
 
-impl Owner for HollowDispatcher {
+impl ReadinessHandler for HollowDispatcher {
     type Key = Who;
 
-    fn ready(&mut self, who: Who) {
+    fn on_socket_ready(&mut self, who: Who) {
         match who {
             Who::ChangeLog => self.wire.ready = true,
             Who::Replica(key) => self.wire.ready_replicas.push(key),
@@ -78,13 +78,13 @@
 
 /// All but the decision core: sockets, clock, the list by name, and what is due.
 struct Wire {
-    hub: Hub<HollowDispatcher>,
-    accounts: Rc<Accounts>,
+    hub: EventLoopHandle<HollowDispatcher>,
+    accounts: Rc<ResourceUsage>,
     clock: Clock,
     now: Duration,
-    places: Places,
+    places: HostRegistry,
     hosts: Vec<KnownHost>,
-    feed: Feed<HollowDispatcher>,
+    feed: ChangeLogClient<HollowDispatcher>,
     ready: bool,
     feed_ready: bool,
     /// Polled in place of the change log, where there are some.
@@ -123,7 +123,7 @@
     }
 
     fn new(
-        hub: Hub<Self>,
+        hub: EventLoopHandle<Self>,
         config: &HollowConfig,
         start: &HollowStart,
         tally: Arc<Tally>,
@@ -134,11 +134,11 @@
         let member = start.member.as_ref().map(|told| membership(&hub, &start.name, told)).transpose()?;
         let replicas = replicas(config, start, &clock)?;
         let wire = Wire {
-            accounts: Rc::new(Accounts::default()),
+            accounts: Rc::new(ResourceUsage::default()),
             now: clock.now(),
-            places: Places::new(&settings)?,
+            places: HostRegistry::new(&settings)?,
             hosts: Vec::new(),
-            feed: Feed::new(config.change_log, Who::ChangeLog),
+            feed: ChangeLogClient::new(config.change_log, Who::ChangeLog),
             ready: false,
             feed_ready: false,
             replicas,
@@ -220,7 +220,7 @@
 }
 
 fn membership(
-    hub: &Hub<HollowDispatcher>,
+    hub: &EventLoopHandle<HollowDispatcher>,
     name: &str,
     told: &MemberStart,
 ) -> Result<Member<HollowDispatcher>, String> {
@@ -239,7 +239,7 @@
 
 /// An answer of the change log, as the dispatcher takes it.
 fn take_answer(round: &mut Round<'_, Wire>, body: &Bytes) {
-    let before = round.writer().feed.last;
+    let before = round.writer().feed.last_seq;
     match serde_json::from_slice(body) {
         Ok(changes) => {
             take_changes(round, &changes);
@@ -253,10 +253,10 @@
 fn take_changes(round: &mut Round<'_, Wire>, changes: &Changes<'_>) {
     for change in &changes.results {
         let now = round.writer().now;
-        match round.writer().feed.step(change.number, now) {
-            Step::Known => continue,
-            Step::Missing(_) => return,
-            Step::Next | Step::Beyond(_) => {}
+        match round.writer().feed.accept(change.seq, now) {
+            SequenceCheck::Duplicate => continue,
+            SequenceCheck::GapRetried(_) => return,
+            SequenceCheck::Next | SequenceCheck::GapAccepted(_) => {}
         }
         if let Some(fleet) = &change.fleet {
             let entries = round.writer().listed(&fleet.endpoints, fleet.snapshot);
@@ -298,7 +298,7 @@
         if self.ready || !self.ready_replicas.is_empty() || self.sharers.is_some() {
             return Duration::ZERO;
         }
-        let news = self.replicas.as_ref().map_or(self.feed.due, |replicas| replicas.due(self.now));
+        let news = self.replicas.as_ref().map_or(self.feed.deadline, |replicas| replicas.due(self.now));
         self.wake_at.min(self.tidy_at).min(news)
     }
 
@@ -316,13 +316,13 @@
         }
         if self.now >= before + FROZEN {
             self.doubted = Some(self.now);
-            self.feed.hurry(self.now);
+            self.feed.poll_immediately(self.now);
         }
         if std::mem::take(&mut self.ready) {
             self.feed_ready = true;
             self.ready = self.feed.on_ready(&mut self.shared, self.now);
         }
-        self.feed.tend(&self.hub, &self.accounts, self.now);
+        self.feed.poll_if_due(&self.hub, &self.accounts, self.now);
     }
 
     /// Reads what the replicas sent, and polls them again where nothing is asked.
@@ -352,12 +352,12 @@
         if !std::mem::take(&mut self.feed_ready) {
             return None;
         }
-        match self.feed.next(self.now) {
+        match self.feed.next_answer(self.now) {
             Ok(body) => {
                 self.feed_ready = body.is_some();
                 body
             }
-            Err(Fault(_)) => {
+            Err(StreamError(_)) => {
                 self.lose();
                 None
             }
@@ -365,16 +365,16 @@
     }
 
     fn lose(&mut self) {
-        self.feed.lose(self.now);
+        self.feed.disconnect(self.now);
     }
 
     /// An answer was taken; `before` was the last event until then.
     fn answered(&mut self, before: u64) {
-        if self.doubted.is_none_or(|woke| self.feed.asked_at() >= woke) {
+        if self.doubted.is_none_or(|woke| self.feed.polled_at() >= woke) {
             self.doubted = None;
         }
-        if self.feed.last == before {
-            self.feed.brought_nothing(self.now);
+        if self.feed.last_seq == before {
+            self.feed.on_empty_answer(self.now);
         }
     }
 
@@ -394,12 +394,12 @@
     }
 
     fn entry(&mut self, line: &Endpoint<'_>) -> Entry {
-        let (index, new) = self.places.host(&line.name);
+        let (index, new) = self.places.register(&line.name);
         if new {
             let entry = Entry { host: index, units: 1.0, ..Entry::default() };
             self.hosts.push(KnownHost { name: line.name.to_string(), entry });
         }
-        let (entry, _) = self.places.entry(&self.hosts[index].entry, line, &self.clock, self.now);
+        let (entry, _) = self.places.resolve_entry(&self.hosts[index].entry, line, &self.clock, self.now);
         self.hosts[index].entry = entry;
         entry
     }
@@ -434,9 +434,9 @@
     }
 
     fn count(&self) {
-        self.tally.last.store(self.feed.last, Ordering::Relaxed);
-        self.tally.bytes_in.store(self.accounts.bytes_in.level() as u64, Ordering::Relaxed);
-        self.tally.bytes_out.store(self.accounts.bytes_out.level() as u64, Ordering::Relaxed);
+        self.tally.last.store(self.feed.last_seq, Ordering::Relaxed);
+        self.tally.bytes_in.store(self.accounts.bytes_in.current() as u64, Ordering::Relaxed);
+        self.tally.bytes_out.store(self.accounts.bytes_out.current() as u64, Ordering::Relaxed);
         let polls = self.replicas.as_ref().map_or(0, |replicas| replicas.counters().answers);
         self.tally.polls_answered.store(polls, Ordering::Relaxed);
         self.tally.turns.fetch_add(1, Ordering::Relaxed);
--- a/crates/replica/src/peers.rs
+++ b/crates/replica/src/peers.rs
@@ -4,9 +4,9 @@
 use bytes::Bytes;
 use myrtlegauge_operator::file::ReplicaPeer;
 use myrtlegauge_replication::{PeerAsk, ReplicaName};
-use myrtlegauge_wire::long_poll::LongPoll;
-use myrtlegauge_wire::protocol::Fault;
-use myrtlegauge_wire::transport::{Accounts, Hub};
+use myrtlegauge_wire::long_poll::LongPollClient;
+use myrtlegauge_wire::protocol::StreamError;
+use myrtlegauge_wire::transport::{EventLoopHandle, ResourceUsage};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 struct Peer {
     name: ReplicaName,
-    poll: LongPoll<Service>,
+    poll: LongPollClient<Service>,
 }
 
 /// All other replicas.
@@ -27,7 +27,7 @@
     /// The peer.
     pub name: ReplicaName,
     /// The body of its answer, or why there is none.
-    pub answer: Result<Bytes, Fault>,
+    pub answer: Result<Bytes, StreamError>,
 }
 
 impl Peers {
@@ -35,15 +35,15 @@
     pub fn new(told: &[ReplicaPeer]) -> Self {
         let peer = |(place, peer): (usize, &ReplicaPeer)| Peer {
             name: ReplicaName(peer.name.clone()),
-            poll: LongPoll::new(peer.address, Who::Peer(PeerKey(place))),
+            poll: LongPollClient::new(peer.address, Who::Peer(PeerKey(place))),
         };
         Self(told.iter().enumerate().map(peer).collect())
     }
 
     /// Sends a poll.
-    pub fn ask(&mut self, ask: &PeerAsk, hub: &Hub<Service>, accounts: &Rc<Accounts>) {
+    pub fn ask(&mut self, ask: &PeerAsk, hub: &EventLoopHandle<Service>, accounts: &Rc<ResourceUsage>) {
         let Some(peer) = self.0.iter_mut().find(|peer| peer.name == ask.to) else { return };
-        peer.poll.ask(&ask.request.to_query(), ask.give_up_at, hub, accounts);
+        peer.poll.start_poll(&ask.request.to_query(), ask.give_up_at, hub, accounts);
     }
 
     /// Reads and writes what can be; true: there is more to read.
@@ -53,13 +53,14 @@
 
     /// The next poll that was answered or has failed.
     pub fn next(&mut self, now: Duration) -> Option<PeerOutcome> {
-        let outcome =
-            |peer: &mut Peer| Some(PeerOutcome { answer: peer.poll.next(now)?, name: peer.name.clone() });
+        let outcome = |peer: &mut Peer| {
+            Some(PeerOutcome { answer: peer.poll.take_result(now)?, name: peer.name.clone() })
+        };
         self.0.iter_mut().find_map(outcome)
     }
 
     /// When the first open poll is given up.
     pub fn due(&self) -> Duration {
-        self.0.iter().map(|peer| peer.poll.due()).min().unwrap_or(Duration::MAX)
+        self.0.iter().map(|peer| peer.poll.deadline()).min().unwrap_or(Duration::MAX)
     }
 }
--- a/crates/replica/src/pollers.rs
+++ b/crates/replica/src/pollers.rs
@@ -5,7 +5,9 @@
 use crate::service::{Service, Who};
 use bytes::Bytes;
 use myrtlegauge_replication::PollId;
-use myrtlegauge_wire::transport::{Accounts, Closing, Connection, Hub, Listener, Reading};
+use myrtlegauge_wire::transport::{
+    ClosingConnections, Connection, EventLoopHandle, Listener, ReadOutcome, ResourceUsage,
+};
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
@@ -52,7 +54,7 @@
     accepting: bool,
     connections: BTreeMap<PollerKey, PollerConnection>,
     by_poll: BTreeMap<PollId, PollerKey>,
-    closing: Closing<Service>,
+    closing: ClosingConnections<Service>,
     most: usize,
     next_key: u64,
     next_poll: u64,
@@ -66,7 +68,7 @@
             accepting: true,
             connections: BTreeMap::new(),
             by_poll: BTreeMap::new(),
-            closing: Closing::new(CLOSING_MOST),
+            closing: ClosingConnections::new(CLOSING_MOST),
             most,
             next_key: 0,
             next_poll: 0,
@@ -92,8 +94,8 @@
     /// keys of those to be looked at: the new ones, and who seemed idle and was not.
     pub fn accept(
         &mut self,
-        hub: &Hub<Service>,
-        accounts: &Rc<Accounts>,
+        hub: &EventLoopHandle<Service>,
+        accounts: &Rc<ResourceUsage>,
         shared: &mut [u8],
         now: Duration,
     ) -> io::Result<Vec<PollerKey>> {
@@ -106,7 +108,7 @@
             self.make_room(&mut heard, shared, now);
             let key = PollerKey(self.next_key);
             self.next_key += 1;
-            let connection = Connection::accepted(hub, stream, Who::Poller(key), accounts)?;
+            let connection = Connection::from_accepted(hub, stream, Who::Poller(key), accounts)?;
             self.connections.insert(key, PollerConnection::new(connection, now));
             heard.push(key);
         }
@@ -147,7 +149,7 @@
         let Some(poller) = self.connections.get_mut(&key) else { return Ok(None) };
         match poller.stage {
             Stage::Reading => poller.connection.parse(http::next_request),
-            Stage::Waiting { .. } if poller.connection.unread() > HEAD_MOST => {
+            Stage::Waiting { .. } if poller.connection.unparsed_bytes() > HEAD_MOST => {
                 Err(RequestError::TooLong { most: HEAD_MOST })
             }
             Stage::Waiting { .. } => Ok(None),
@@ -177,10 +179,10 @@
         if let Stage::Waiting { poll, .. } = std::mem::replace(&mut poller.stage, Stage::Reading) {
             self.by_poll.remove(&poll);
         }
-        if poller.connection.waiting() == 0 {
+        if poller.connection.unsent_bytes() == 0 {
             poller.flushed_at = now;
         }
-        poller.connection.push(answer);
+        poller.connection.enqueue(answer);
         poller.since = now;
         poller.has_ended |= poller.connection.flush().is_err();
     }
@@ -194,8 +196,8 @@
         now: Duration,
     ) -> Option<PollId> {
         let (mut poller, poll) = self.remove(key)?;
-        poller.connection.push(http::error_answer(error));
-        self.closing.begin(Who::Poller(key), poller.connection, shared, now);
+        poller.connection.enqueue(http::error_answer(error));
+        self.closing.start_close(Who::Poller(key), poller.connection, shared, now);
         poll
     }
 
@@ -248,30 +250,30 @@
 
     fn is_idle(&self) -> bool {
         matches!(self.stage, Stage::Reading)
-            && self.connection.unread() == 0
-            && self.connection.waiting() == 0
+            && self.connection.unparsed_bytes() == 0
+            && self.connection.unsent_bytes() == 0
     }
 
     fn on_ready(&mut self, shared: &mut [u8], now: Duration) -> bool {
-        let is_first = self.connection.unread() == 0;
+        let is_first = self.connection.unparsed_bytes() == 0;
         let reading = match self.connection.flush() {
             Ok(()) => self.connection.read(shared, READ_MOST),
-            Err(_) => Reading::Ended,
+            Err(_) => ReadOutcome::Closed,
         };
         if is_first {
             self.since = now;
         }
-        self.has_ended |= reading == Reading::Ended;
-        reading == Reading::More
+        self.has_ended |= reading == ReadOutcome::Closed;
+        reading == ReadOutcome::More
     }
 
     fn stall(&mut self, now: Duration) -> Option<Stall> {
-        if self.connection.waiting() > 0 {
+        if self.connection.unsent_bytes() > 0 {
             return self.is_deaf(now).then_some(Stall::Deaf);
         }
         match self.stage {
             Stage::Waiting { give_up_at, .. } => (now >= give_up_at).then_some(Stall::Replaced),
-            Stage::Reading if self.connection.unread() > 0 => {
+            Stage::Reading if self.connection.unparsed_bytes() > 0 => {
                 (now >= self.since + WHOLE_WITHIN).then_some(Stall::HalfRequest)
             }
             Stage::Reading => (now >= self.since + IDLE_MOST).then_some(Stall::Idle),
@@ -279,7 +281,7 @@
     }
 
     fn is_deaf(&mut self, now: Duration) -> bool {
-        let flushed = self.connection.flushed();
+        let flushed = self.connection.written_bytes();
         if flushed != self.flushed {
             (self.flushed, self.flushed_at) = (flushed, now);
         }
--- a/crates/replica/src/service.rs
+++ b/crates/replica/src/service.rs
@@ -15,10 +15,10 @@
     Incarnation, LogId, PollAnswer, PollId, PollRequest, PublishError, Record, Replica, ReplicaConfig,
     ReplicaDefences, ReplicaName,
 };
+use myrtlegauge_wire::change_log_client::{ChangeLogClient, SequenceCheck};
 use myrtlegauge_wire::clock::Clock;
-use myrtlegauge_wire::feed::{Feed, Step};
-use myrtlegauge_wire::protocol::Fault;
-use myrtlegauge_wire::transport::{Accounts, Listener, Owner};
+use myrtlegauge_wire::protocol::StreamError;
+use myrtlegauge_wire::transport::{Listener, ReadinessHandler, ResourceUsage};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -68,7 +68,7 @@
 
 /// The poll of the platform's change log.
 struct Source {
-    feed: Feed<Service>,
+    feed: ChangeLogClient<Service>,
     list: SourceList,
     /// The last event that was taken: another one under its number tells of a change log that began anew.
     last_event: Option<SourceEvent>,
@@ -84,7 +84,7 @@
     source: Option<Source>,
     purges: LatestPurges,
     hub: LoopHandle<'static, Self>,
-    accounts: Rc<Accounts>,
+    accounts: Rc<ResourceUsage>,
     shared: Box<[u8]>,
     ready: Vec<Who>,
     clock: Clock,
@@ -95,10 +95,10 @@
     is_done: bool,
 }
 
-impl Owner for Service {
+impl ReadinessHandler for Service {
     type Key = Who;
 
-    fn ready(&mut self, who: Who) {
+    fn on_socket_ready(&mut self, who: Who) {
         self.ready.push(who);
     }
 }
@@ -156,8 +156,8 @@
         let config = ReplicaConfig { defences, ..config(terms, Incarnation(clock.unix_ms(now))) };
         let (name, log) = (config.name.clone(), config.log.clone());
         let core = Replica::new(config, now)?;
-        let accounts = Rc::new(Accounts::default());
-        let listener = Listener::open(&hub, terms.listen, Who::Listener, &accounts)
+        let accounts = Rc::new(ResourceUsage::default());
+        let listener = Listener::bind(&hub, terms.listen, Who::Listener, &accounts)
             .map_err(|why| ReplicaError::Listen { at: terms.listen, why })?;
         Ok(Self {
             name,
@@ -206,7 +206,7 @@
             return Duration::ZERO;
         }
         let core = self.core.next_wake().filter(|_| !self.is_full()).unwrap_or(Duration::MAX);
-        let source = self.source.as_ref().map_or(Duration::MAX, |source| source.feed.due);
+        let source = self.source.as_ref().map_or(Duration::MAX, |source| source.feed.deadline);
         let due = core.min(source).min(self.peers.due()).min(self.tidy_at);
         due.saturating_sub(self.clock.now())
     }
@@ -226,7 +226,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.accounts.buffered.level() > BUFFERED_MOST
+        self.accounts.buffered_bytes.current() > BUFFERED_MOST
     }
 
     fn read(&mut self) {
@@ -316,8 +316,8 @@
     fn traffic(&self) -> Traffic {
         Traffic {
             polls_answered: self.counters.polls_answered,
-            bytes_in: self.accounts.bytes_in.level() as u64,
-            bytes_out: self.accounts.bytes_out.level() as u64,
+            bytes_in: self.accounts.bytes_in.current() as u64,
+            bytes_out: self.accounts.bytes_out.current() as u64,
         }
     }
 
@@ -345,7 +345,7 @@
         while let Some(PeerOutcome { name, answer }) = self.peers.next(self.now) {
             match answer {
                 Ok(body) => self.take_peer_answer(&name, &body),
-                Err(Fault(what)) => self.lose_peer_poll(&name, &what),
+                Err(StreamError(what)) => self.lose_peer_poll(&name, &what),
             }
         }
     }
@@ -372,10 +372,10 @@
         let Some(mut source) = self.source.take() else { return false };
         let has_more = source.feed.on_ready(&mut self.shared, self.now);
         loop {
-            match source.feed.next(self.now) {
+            match source.feed.next_answer(self.now) {
                 Ok(Some(body)) => self.take_source_answer(&mut source, &body),
                 Ok(None) => break,
-                Err(Fault(what)) => {
+                Err(StreamError(what)) => {
                     self.lose_source_poll(&mut source, &what);
                     break;
                 }
@@ -387,14 +387,14 @@
 
     fn follow_source(&mut self) {
         let Some(source) = &mut self.source else { return };
-        let is_lost = source.feed.tend(&self.hub, &self.accounts, self.now);
+        let is_lost = source.feed.poll_if_due(&self.hub, &self.accounts, self.now);
         self.counters.source_polls_failed += u64::from(is_lost);
     }
 
     fn lose_source_poll(&mut self, source: &mut Source, what: &dyn std::fmt::Display) {
         self.counters.source_polls_failed += 1;
         self.faults.warn(self.now, &format_args!("the change log: {what}"));
-        source.feed.lose(self.now);
+        source.feed.disconnect(self.now);
     }
 
     fn take_source_answer(&mut self, source: &mut Source, body: &[u8]) {
@@ -407,19 +407,21 @@
             source.begin_anew(self.now);
             return log::warn!(last = answer.last; "replication: the change log began anew: asked for all");
         }
-        let before = source.feed.last;
+        let before = source.feed.last_seq;
         for event in &answer.results {
-            match source.feed.step(event.number, self.now) {
-                Step::Known => continue,
-                Step::Missing(last) => {
+            match source.feed.accept(event.number, self.now) {
+                SequenceCheck::Duplicate => continue,
+                SequenceCheck::GapRetried(last) => {
                     let what = format_args!("the change log went from {last} to {}", event.number);
                     return self.faults.warn(self.now, &what);
                 }
-                Step::Beyond(_) | Step::Next => self.take_event(source, event, answer.last),
+                SequenceCheck::GapAccepted(_) | SequenceCheck::Next => {
+                    self.take_event(source, event, answer.last)
+                }
             }
         }
-        if source.feed.last == before {
-            source.feed.brought_nothing(self.now);
+        if source.feed.last_seq == before {
+            source.feed.on_empty_answer(self.now);
         }
     }
 
@@ -468,7 +470,7 @@
         let counters = self.counters;
         let (members, lagging, watermark) = (status.members.len(), status.lagging().len(), status.watermark);
         let (polls_answered, events_sent) = (counters.polls_answered, counters.events_sent);
-        let (bytes_in, bytes_out) = (self.accounts.bytes_in.level(), self.accounts.bytes_out.level());
+        let (bytes_in, bytes_out) = (self.accounts.bytes_in.current(), self.accounts.bytes_out.current());
         log::info!(
             polls_answered, events_sent, bytes_in, bytes_out, members, lagging, watermark,
             log = status.log.as_str(), standing:? = status.standing, connections = status.connections;
@@ -493,7 +495,7 @@
 
 impl Source {
     fn new(address: SocketAddr) -> Self {
-        let feed = Feed::new(address, Who::Source).overlapping();
+        let feed = ChangeLogClient::new(address, Who::Source).with_overlap();
         Self { feed, list: SourceList::default(), last_event: None }
     }
 
@@ -502,11 +504,11 @@
         let is_other = |event: &SourceEvent| {
             self.last_event.as_ref().is_some_and(|last| last.number == event.number && last != event)
         };
-        answer.last < self.feed.last || answer.results.iter().any(is_other)
+        answer.last < self.feed.last_seq || answer.results.iter().any(is_other)
     }
 
     fn begin_anew(&mut self, now: Duration) {
-        self.feed.begin_anew(now);
+        self.feed.resync_from_start(now);
         self.list.begin_anew();
         self.last_event = None;
     }
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -6,7 +6,7 @@
     MemberName, MemberView, Outstanding, PurgeTarget, Reason, Record, RecordName, Replica, ReplicaName,
     ReplicaStanding, Verdict,
 };
-use myrtlegauge_wire::protocol::{Fault, changelog};
+use myrtlegauge_wire::protocol::{StreamError, changelog};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -282,8 +282,8 @@
             return Err(StatusError::Unfinished(at));
         }
         inbound.extend_from_slice(&chunk[..read]);
-        let unreadable = |Fault(why)| StatusError::Unreadable { at, why: why.to_owned() };
-        if let Some(body) = changelog::next(&mut inbound).map_err(unreadable)? {
+        let unreadable = |StreamError(why)| StatusError::Unreadable { at, why: why.to_owned() };
+        if let Some(body) = changelog::next_answer(&mut inbound).map_err(unreadable)? {
             return Ok(body);
         }
     }
--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -1,5 +1,5 @@
-//! Time as monotonic spans since an epoch that lies an hour before the program's start. Nothing decides by a wall clock: stamps of
-//! other machines become claims here, and nowhere else.
+//! Monotonic time, as a span since an epoch one hour before the start of the program. No decision depends on a wall
+//! clock: timestamps of other machines are converted into claims here and nowhere else.
 
 use myrtlegauge::host_life::StartClaim;
 use myrtlegauge::interface::span;
@@ -8,6 +8,7 @@
 /// What lies before the start is a span, too.
 const BEFORE: Duration = Duration::from_secs(3600);
 
+/// Monotonic clock that also converts Unix timestamps of other machines.
 pub struct Clock {
     start: Instant,
     /// This machine's wall clock at the start, as it was then: steps since are not followed.
@@ -17,34 +18,37 @@
 }
 
 impl Clock {
+    /// Starts the clock, with the wall clock of this moment as its Unix reference.
     pub fn start() -> Self {
         let start_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { start: Instant::now(), start_unix, unix_offset: Duration::ZERO }
     }
 
+    /// The time since the epoch.
     pub fn now(&self) -> Duration {
         BEFORE + self.start.elapsed()
     }
 
-    /// Notes a stamp of another machine, in Unix milliseconds: the time that it tells is past.
-    pub fn heard(&mut self, unix_ms: f64, now: Duration) {
+    /// Records a timestamp of another machine, in Unix milliseconds. The time that it names has passed.
+    pub fn record_remote_timestamp(&mut self, unix_ms: f64, now: Duration) {
         let past = span(unix_ms).min(self.unix(now));
         self.unix_offset = self.unix_offset.max(past.saturating_sub(now));
     }
 
-    /// What Unix time is ahead of `now` at least, by two clocks; zero where no stamp was heard.
+    /// A lower bound of the offset from `now` to Unix time, confirmed by the clocks of two machines. Zero if no
+    /// timestamp was recorded.
     pub fn unix_offset(&self) -> Duration {
         self.unix_offset
     }
 
-    /// What another machine's stamp of a host's start claims at `now`. A stamp ahead of this machine's clock claims no age,
-    /// one that is no time, or lies before 1970, no start.
-    pub fn claim(&self, unix_ms: f64, now: Duration) -> StartClaim {
+    /// The claim that a start timestamp of another machine makes at `now`. A timestamp ahead of this machine's clock
+    /// claims an age of zero. One that is not a valid time, or lies before 1970, claims no start.
+    pub fn start_claim(&self, unix_ms: f64, now: Duration) -> StartClaim {
         let stamp = span(unix_ms);
         StartClaim { stamp: stamp.as_millis() as u64, age: self.unix(now).saturating_sub(stamp) }
     }
 
-    /// A moment in Unix milliseconds, for other programs to compare; zero for none.
+    /// Converts a time to Unix milliseconds, which other programs can compare. Zero stands for no time and stays zero.
     pub fn unix_ms(&self, at: Duration) -> u64 {
         if at.is_zero() { 0 } else { self.unix(at).as_millis() as u64 }
     }
--- a/crates/wire/src/places.rs
+++ b/crates/wire/src/host_registry.rs
@@ -1,5 +1,5 @@
-//! The names of the list of hosts, as the module knows them: places and kinds by their position in the settings, hosts by
-//! small indices that are given back.
+//! Maps the names in the host list to the indices that the routing module uses. Zones and kinds have their position in
+//! the settings as index; hosts have small indices that are reused.
 
 use crate::clock::Clock;
 use crate::protocol::changelog::Endpoint;
@@ -7,7 +7,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-pub struct Places {
+/// The indices of zones, kinds and hosts, by name.
+pub struct HostRegistry {
     zones: Vec<String>,
     kinds: Vec<String>,
     indices: HashMap<String, HostIndex>,
@@ -15,7 +16,11 @@
     free: Vec<HostIndex>,
 }
 
-impl Places {
+impl HostRegistry {
+    /// Reads the lists `zones` and `kinds` from the settings.
+    ///
+    /// # Errors
+    /// One of the two settings is missing or is not a list.
     pub fn new(told: &Values) -> Result<Self, String> {
         let names = |name: &str| -> Result<Vec<String>, String> {
             let list = told.get(name).and_then(|v| v.as_array());
@@ -25,8 +30,9 @@
         Ok(Self { zones: names("zones")?, kinds: names("kinds")?, indices: HashMap::new(), free: Vec::new() })
     }
 
-    /// An index for a host's name, the same until it is given back; and whether it is new.
-    pub fn host(&mut self, name: &str) -> (HostIndex, bool) {
+    /// Returns the index of a host and whether it was assigned by this call. A name keeps its index until it is
+    /// unregistered.
+    pub fn register(&mut self, name: &str) -> (HostIndex, bool) {
         if let Some(&known) = self.indices.get(name) {
             return (known, false);
         }
@@ -35,25 +41,26 @@
         (index, true)
     }
 
-    /// The names of the zones, by their numbers.
-    pub fn zones(&self) -> &[String] {
+    /// The names of the zones, in the order of their indices.
+    pub fn zone_names(&self) -> &[String] {
         &self.zones
     }
 
-    /// The index of a host that is known by this name.
-    pub fn known(&self, name: &str) -> Option<HostIndex> {
+    /// The index of a registered host.
+    pub fn index_of(&self, name: &str) -> Option<HostIndex> {
         self.indices.get(name).copied()
     }
 
-    /// Gives the index of a host back.
-    pub fn forget(&mut self, name: &[u8]) {
+    /// Removes a host and frees its index for reuse.
+    pub fn unregister(&mut self, name: &[u8]) {
         let index = std::str::from_utf8(name).ok().and_then(|name| self.indices.remove(name));
         self.free.extend(index);
     }
 
-    /// A line of the list, with what is wrong with it. What it leaves out is as it was known; a host that can't be
-    /// placed is taken as gone.
-    pub fn entry(
+    /// Converts an endpoint of the host list into an entry, and returns it with the error of the endpoint, if any.
+    /// Fields that the endpoint omits keep the values of `known`. A host with an unknown status, zone or type is
+    /// treated as gone.
+    pub fn resolve_entry(
         &self,
         known: &Entry,
         told: &Endpoint<'_>,
@@ -77,7 +84,7 @@
             host: known.host,
             mark: mark(&told.name),
             standing: standing.ok().filter(|_| fault.is_none()).unwrap_or(Standing::Gone),
-            start: told.since_ms.map_or(known.start, |at| Start::Claimed(clock.claim(at, now))),
+            start: told.since_ms.map_or(known.start, |at| Start::Claimed(clock.start_claim(at, now))),
             zone: zone.unwrap_or(known.zone),
             cell: told.group.unwrap_or(known.cell),
             kind: kind.unwrap_or(known.kind),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,11 +1,12 @@
-//! What the project's programs speak, in layers of which each knows only those before it: `transport` (connections on
-//! a calloop loop), `protocol` (the meaning of bytes, without I/O), and what both the dispatcher and the control service
-//! need of the change log: `clock` (its times), `places` (its names and indices), `feed` (its poll),
-//! `long_poll` (a poll of a replica, whose caller decides when and what to ask).
+//! Networking shared by the project's programs, in layers that depend only on the layers before them: `transport`
+//! (connections on a calloop event loop), `protocol` (parsers and writers without I/O), and what both the dispatcher and
+//! the control service need to follow the change log: `clock` (its timestamps), `host_registry` (its names and indices),
+//! `change_log_client` (its long poll) and `long_poll` (the long poll of a replica, whose caller decides when and what
+//! to request).
 
+pub mod change_log_client;
 pub mod clock;
-pub mod feed;
+pub mod host_registry;
 pub mod long_poll;
-pub mod places;
 pub mod protocol;
 pub mod transport;
--- a/crates/wire/src/long_poll.rs
+++ b/crates/wire/src/long_poll.rs
@@ -1,8 +1,8 @@
-//! The long poll of a replica: one request at a time on a kept connection. What is asked, and how long an answer is waited
-//! for, is the caller's decision; `feed` polls the platform's change log by rules of its own.
+//! Long-poll client of a replica: one request at a time on a persistent connection. The caller decides on the query and
+//! the timeout. The platform's change log is polled by `change_log_client`, under rules of its own.
 
-use crate::protocol::{Fault, changelog};
-use crate::transport::{Accounts, Connection, Hub, Owner, Reading};
+use crate::protocol::{StreamError, changelog};
+use crate::transport::{Connection, EventLoopHandle, ReadOutcome, ReadinessHandler, ResourceUsage};
 use bytes::Bytes;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 /// Bytes read from the replica in one turn.
 const READ_MOST: usize = 256 * 1024;
 
-/// A client of one replica.
-pub struct LongPoll<O: Owner> {
+/// Long-poll client of one replica.
+pub struct LongPollClient<O: ReadinessHandler> {
     address: SocketAddr,
     host: String,
     /// How the owner knows that it was ready.
@@ -23,11 +23,11 @@
     /// The other side has closed; what came before may still be a whole answer.
     has_ended: bool,
     /// Why the poll that is open can't be answered any more.
-    failure: Option<Fault>,
+    failure: Option<StreamError>,
 }
 
-impl<O: Owner> LongPoll<O> {
-    /// A client that has asked nothing yet.
+impl<O: ReadinessHandler> LongPollClient<O> {
+    /// Creates a client that has not polled yet.
     pub fn new(address: SocketAddr, key: O::Key) -> Self {
         Self {
             address,
@@ -40,32 +40,39 @@
         }
     }
 
-    /// Where it polls.
+    /// The address of the replica.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether an answer is waited for.
-    pub fn is_open(&self) -> bool {
+    /// Whether a poll is outstanding.
+    pub fn is_pending(&self) -> bool {
         self.give_up_at.is_some()
     }
 
-    /// When the answer is given up; never while none is waited for.
-    pub fn due(&self) -> Duration {
+    /// When [`LongPollClient::take_result`] has a result at the latest: the timeout of the outstanding poll, zero if the
+    /// poll has failed, and `Duration::MAX` if none is outstanding.
+    pub fn deadline(&self) -> Duration {
         if self.failure.is_some() { Duration::ZERO } else { self.give_up_at.unwrap_or(Duration::MAX) }
     }
 
-    /// Asks, on the kept connection or a new one. How it went is told by [`LongPoll::next`]. A poll that was still
-    /// open is given up without a word.
-    pub fn ask(&mut self, query: &str, give_up_at: Duration, hub: &Hub<O>, accounts: &Rc<Accounts>) {
-        if self.is_open() {
+    /// Sends a poll on the existing connection or a new one. [`LongPollClient::take_result`] returns its result. A poll
+    /// that is still outstanding is dropped without a result.
+    pub fn start_poll(
+        &mut self,
+        query: &str,
+        give_up_at: Duration,
+        hub: &EventLoopHandle<O>,
+        accounts: &Rc<ResourceUsage>,
+    ) {
+        if self.is_pending() {
             self.disconnect();
         }
         self.give_up_at = Some(give_up_at);
         self.failure = None;
-        let request = changelog::poll_with(&self.host, format_args!("{query}"));
+        let request = changelog::poll_request_with_query(&self.host, format_args!("{query}"));
         let is_sent = self.connection.as_mut().is_some_and(|connection| {
-            connection.push(request.clone());
+            connection.enqueue(request.clone());
             connection.flush().is_ok()
         });
         if !is_sent {
@@ -73,27 +80,27 @@
         }
     }
 
-    fn ask_anew(&mut self, request: Bytes, hub: &Hub<O>, accounts: &Rc<Accounts>) {
+    fn ask_anew(&mut self, request: Bytes, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>) {
         self.disconnect();
-        match Connection::opening(hub, self.address, self.key, accounts) {
+        match Connection::connect(hub, self.address, self.key, accounts) {
             Ok(mut connection) => {
-                connection.push(request);
+                connection.enqueue(request);
                 self.connection = Some(connection);
             }
             Err(_) => self.failure = Some(REFUSED),
         }
     }
 
-    /// Gives the open poll up, and its connection with it.
-    pub fn give_up(&mut self) {
+    /// Drops the outstanding poll and closes the connection.
+    pub fn cancel(&mut self) {
         self.disconnect();
         (self.give_up_at, self.failure) = (None, None);
     }
 
-    /// Reads and writes what can be; true: there is more to read.
+    /// Reads and writes as much as possible. Returns whether there may be more to read.
     pub fn on_ready(&mut self, shared: &mut [u8]) -> bool {
         let Some(connection) = &mut self.connection else { return false };
-        match connection.is_up() {
+        match connection.is_connected() {
             Ok(true) => {}
             Ok(false) => return false,
             Err(_) => {
@@ -103,17 +110,17 @@
         }
         let reading = match connection.flush() {
             Ok(()) => connection.read(shared, READ_MOST),
-            Err(_) => Reading::Ended,
+            Err(_) => ReadOutcome::Closed,
         };
-        self.has_ended |= reading == Reading::Ended;
-        if self.has_ended && !self.is_open() {
+        self.has_ended |= reading == ReadOutcome::Closed;
+        if self.has_ended && !self.is_pending() {
             self.disconnect();
         }
-        reading == Reading::More
+        reading == ReadOutcome::More
     }
 
-    /// The answer to the open poll, once: its body, or why there is none.
-    pub fn next(&mut self, now: Duration) -> Option<Result<Bytes, Fault>> {
+    /// The result of the outstanding poll, returned once: the body of the answer or the reason of the failure.
+    pub fn take_result(&mut self, now: Duration) -> Option<Result<Bytes, StreamError>> {
         let give_up_at = self.give_up_at?;
         let answer = self.answer();
         match answer {
@@ -127,28 +134,28 @@
             }
             Ok(None) if now < give_up_at => None,
             Ok(None) => {
-                self.give_up();
+                self.cancel();
                 Some(Err(SILENT))
             }
             Err(fault) => {
-                self.give_up();
+                self.cancel();
                 Some(Err(fault))
             }
         }
     }
 
-    fn answer(&mut self) -> Result<Option<Bytes>, Fault> {
+    fn answer(&mut self) -> Result<Option<Bytes>, StreamError> {
         if let Some(failure) = self.failure.take() {
             return Err(failure);
         }
         let Some(connection) = &mut self.connection else { return Err(LOST) };
-        let body = connection.parse(changelog::next)?;
+        let body = connection.parse(changelog::next_answer)?;
         if body.is_none() && self.has_ended { Err(LOST) } else { Ok(body) }
     }
 
-    fn fail(&mut self, fault: Fault) {
+    fn fail(&mut self, fault: StreamError) {
         self.disconnect();
-        self.failure = self.is_open().then_some(fault);
+        self.failure = self.is_pending().then_some(fault);
     }
 
     fn disconnect(&mut self) {
@@ -157,6 +164,7 @@
     }
 }
 
-const REFUSED: Fault = Fault("the replica refuses connections: look whether it runs, and its address");
-const SILENT: Fault = Fault("the replica did not answer in time");
-const LOST: Fault = Fault("the connection to the replica was lost");
+const REFUSED: StreamError =
+    StreamError("the replica refuses connections: look whether it runs, and its address");
+const SILENT: StreamError = StreamError("the replica did not answer in time");
+const LOST: StreamError = StreamError("the connection to the replica was lost");
--- a/crates/wire/src/protocol/changelog.rs
+++ b/crates/wire/src/protocol/changelog.rs
@@ -1,6 +1,6 @@
-//! The change log: HTTP/1.1 around JSON, polled one answer at a time.
+//! The change log: JSON over HTTP/1.1, polled one answer at a time.
 
-use super::Fault;
+use super::StreamError;
 use bytes::{Buf, Bytes, BytesMut};
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -10,17 +10,18 @@
 const ANSWER_MOST: usize = 1024 * 1024;
 const HEADERS_MOST: usize = 32;
 
+/// An answer of the change log: events, and the sequence number of the last one.
 #[derive(Debug, Deserialize)]
 pub struct Changes<'a> {
     #[serde(rename = "seq")]
-    pub last: u64,
+    pub last_seq: u64,
     #[serde(borrow, default)]
     pub results: Vec<Change<'a>>,
 }
 
 impl Changes<'_> {
-    /// All times by other machines' wall clocks that these events tell.
-    pub fn stamps(&self) -> impl Iterator<Item = f64> {
+    /// All timestamps in these events, in Unix milliseconds by the wall clocks of other machines.
+    pub fn remote_timestamps_ms(&self) -> impl Iterator<Item = f64> {
         self.results.iter().flat_map(|change| {
             let lines = change.fleet.iter().flat_map(|fleet| &fleet.endpoints);
             lines.filter_map(|line| line.since_ms).chain(change.invalidate.iter().map(|purge| purge.unix_ms))
@@ -28,25 +29,26 @@
     }
 }
 
-/// One numbered event: a change to the list, a purge, or something that is not known here.
+/// One event with its sequence number: a change to the host list, a purge, or an event of another type.
 #[derive(Debug, Deserialize)]
 pub struct Change<'a> {
-    #[serde(rename = "seq")]
-    pub number: u64,
+    pub seq: u64,
     #[serde(borrow)]
-    pub fleet: Option<Fleet<'a>>,
+    pub fleet: Option<FleetUpdate<'a>>,
     #[serde(borrow)]
     pub invalidate: Option<Purge<'a>>,
 }
 
+/// A change to the host list, or the whole list if it is a snapshot.
 #[derive(Debug, Deserialize)]
-pub struct Fleet<'a> {
+pub struct FleetUpdate<'a> {
     #[serde(default)]
     pub snapshot: bool,
     #[serde(borrow, default)]
     pub endpoints: Vec<Endpoint<'a>>,
 }
 
+/// A host as the host list describes it.
 #[derive(Debug, Deserialize)]
 pub struct Endpoint<'a> {
     #[serde(borrow)]
@@ -64,6 +66,7 @@
     pub since_ms: Option<f64>,
 }
 
+/// A purge of an object or of a group of objects.
 #[derive(Debug, Deserialize)]
 pub struct Purge<'a> {
     #[serde(borrow)]
@@ -73,32 +76,33 @@
     pub unix_ms: f64,
 }
 
-pub fn poll(host: &str, since: u64, wait_ms: u128) -> Bytes {
-    poll_with(host, format_args!("since={since}&timeout={wait_ms}"))
+/// A poll for the events after `since` that may wait up to `wait_ms` for new ones.
+pub fn poll_request(host: &str, since: u64, wait_ms: u128) -> Bytes {
+    poll_request_with_query(host, format_args!("since={since}&timeout={wait_ms}"))
 }
 
-/// A poll with a whole query of its own: replicas take more fields than the platform's change log.
-pub fn poll_with(host: &str, query: Arguments<'_>) -> Bytes {
+/// A poll with the given query: replicas accept more fields than the platform's change log.
+pub fn poll_request_with_query(host: &str, query: Arguments<'_>) -> Bytes {
     let mut out = BytesMut::new();
     let line = write!(out, "GET /changes?{query} HTTP/1.1\r\nHost: {host}\r\n\r\n");
     line.expect("a buffer takes all that is written");
     out.freeze()
 }
 
-/// Takes the body of the next answer out of what came in; none until it is whole.
-pub fn next(inbound: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
+/// Takes the body of the next answer out of `inbound`, or returns `None` until the answer is complete.
+pub fn next_answer(inbound: &mut BytesMut) -> Result<Option<Bytes>, StreamError> {
     if inbound.len() > ANSWER_MOST {
-        return Err(Fault("an answer of the change log over the bound"));
+        return Err(StreamError("an answer of the change log over the bound"));
     }
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
     let mut response = httparse::Response::new(&mut headers);
     let head = match response.parse(inbound) {
         Ok(httparse::Status::Complete(head)) => head,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(Fault("an answer of the change log that is no HTTP")),
+        Err(_) => return Err(StreamError("an answer of the change log that is no HTTP")),
     };
     if response.code != Some(200) {
-        return Err(Fault("a change log that answers with another status"));
+        return Err(StreamError("a change log that answers with another status"));
     }
     let told = |name: &str| {
         let header = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
@@ -108,7 +112,8 @@
         return chunked(inbound, head);
     }
     let long = told("content-length").and_then(|long| long.parse::<usize>().ok());
-    let long = long.filter(|&long| long <= ANSWER_MOST).ok_or(Fault("a change log without a length"))?;
+    let long =
+        long.filter(|&long| long <= ANSWER_MOST).ok_or(StreamError("a change log without a length"))?;
     if inbound.len() < head + long {
         return Ok(None);
     }
@@ -117,16 +122,16 @@
 }
 
 /// Puts the chunks of a body together once they are all there.
-fn chunked(inbound: &mut BytesMut, head: usize) -> Result<Option<Bytes>, Fault> {
+fn chunked(inbound: &mut BytesMut, head: usize) -> Result<Option<Bytes>, StreamError> {
     let (mut at, mut body) = (head, BytesMut::new());
     loop {
         let (line, long) = match httparse::parse_chunk_size(&inbound[at..]) {
             Ok(httparse::Status::Complete((line, long))) => (line, long),
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(Fault("a chunk of the change log without a length")),
+            Err(_) => return Err(StreamError("a chunk of the change log without a length")),
         };
         let long = usize::try_from(long).ok().filter(|&long| long <= ANSWER_MOST);
-        let long = long.ok_or(Fault("a chunk of the change log over the bound"))?;
+        let long = long.ok_or(StreamError("a chunk of the change log over the bound"))?;
         let end = at + line + long + 2;
         if inbound.len() < end {
             return Ok(None);
--- a/crates/wire/src/protocol/fastcgi.rs
+++ b/crates/wire/src/protocol/fastcgi.rs
@@ -1,6 +1,6 @@
-//! FastCGI 1.0 as a Responder: records in, answers out.
+//! FastCGI 1.0 as a Responder: reads records, writes responses.
 
-use super::Fault;
+use super::StreamError;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::time::Duration;
 
@@ -30,9 +30,9 @@
 /// Bytes of one request's body; the protocol page allows 48,000.
 const BODY_MOST: usize = 64 * 1024;
 /// Bytes of body in one STDOUT record.
-pub(super) const RECORD_MOST: usize = 0xfff8;
+pub(super) const MAX_RECORD_CONTENT: usize = 0xfff8;
 
-/// A request that is whole, with the parameters that are used, as they came.
+/// A complete request with the parameters that are used, as received.
 #[derive(Debug, Default)]
 pub struct Request {
     pub number: u16,
@@ -41,31 +41,33 @@
     pub id: Bytes,
     pub budget: Bytes,
     pub key: Bytes,
-    pub part: Bytes,
+    pub chunk: Bytes,
     pub group: Bytes,
-    pub held: Bytes,
-    /// The mark of a tokened request, by which hosts know a repeat.
+    pub held_version: Bytes,
+    /// The token of a tokened request, by which hosts recognize a repeat.
     pub token: Bytes,
-    /// The id of the first try of the same GET, and which try this is, where the client marks them.
-    pub first: Bytes,
+    /// The id of the first attempt of the same GET, if the client sends it.
+    pub first_id: Bytes,
+    /// The number of this attempt, if the client sends it.
     pub attempt: Bytes,
     pub body: Bytes,
-    /// It could not be read; it is owed an answer all the same.
-    pub spoilt: bool,
-    /// Bytes that it holds.
-    pub long: usize,
+    /// The parameters could not be read. The request still gets a response.
+    pub is_malformed: bool,
+    /// Bytes of parameters and body.
+    pub size: usize,
 }
 
-/// What a record came to.
+/// What the reader found in the records.
 #[derive(Debug)]
 #[expect(clippy::large_enum_variant, reason = "moved once; a box would be an allocation for each GET")]
 pub enum Message {
+    /// A complete request.
     Request(Request),
-    /// The client waits no longer for this one.
+    /// The client aborts this request.
     Abort(u16),
-    /// It broke a bound before it was whole; its rest is passed over.
+    /// The request exceeded a limit before it was complete. Its remaining records are ignored.
     Refuse(u16),
-    /// To be written back as it stands; no request comes of it.
+    /// Bytes to be written back unchanged. They belong to no request that is handed out.
     Reply(Bytes),
 }
 
@@ -81,39 +83,39 @@
     since: Duration,
 }
 
-/// The requests of one connection that are not yet whole.
+/// Reads the requests of one connection and holds those that are still incomplete.
 #[derive(Default)]
-pub struct Reader {
+pub struct RequestReader {
     partial: Vec<Partial>,
 }
 
-impl Reader {
-    /// Bytes of requests that are not yet whole.
-    pub fn long(&self) -> usize {
+impl RequestReader {
+    /// Bytes of incomplete requests.
+    pub fn buffered_bytes(&self) -> usize {
         self.partial.iter().map(|partial| partial.params.len() + partial.body.len()).sum()
     }
 
-    /// Nothing is begun.
+    /// Whether there is no incomplete request.
     pub fn is_empty(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// A request that was begun before `then` and is not yet whole; it is refused from now on.
-    pub fn refuse_older(&mut self, then: Duration) -> Option<u16> {
+    /// Refuses one incomplete request that began before `then` and returns its number.
+    pub fn refuse_older_than(&mut self, then: Duration) -> Option<u16> {
         let old = self.partial.iter_mut().find(|partial| !partial.refused && partial.since < then)?;
         old.refuse();
         Some(old.number)
     }
 
-    /// The next message in what came in by `now`; none until more has come. `open` are the requests that were
-    /// handed out and not answered yet.
-    pub fn next<T>(
+    /// The next message in the bytes received by `now`, or `None` until more bytes arrive. `open` lists the requests
+    /// that were handed out and not answered yet.
+    pub fn next_message<T>(
         &mut self,
         inbound: &mut BytesMut,
         open: &[(u16, T)],
         now: Duration,
-    ) -> Result<Option<Message>, Fault> {
-        while let Some((kind, number, record)) = cut(inbound)? {
+    ) -> Result<Option<Message>, StreamError> {
+        while let Some((kind, number, record)) = next_record(inbound)? {
             let message = if number == 0 {
                 management(kind, record)?
             } else {
@@ -133,7 +135,7 @@
         record: Bytes,
         open: &[(u16, T)],
         now: Duration,
-    ) -> Result<Option<Message>, Fault> {
+    ) -> Result<Option<Message>, StreamError> {
         let is_open = open.iter().any(|(known, _)| *known == number);
         let at = self.partial.iter().position(|p| p.number == number);
         match (kind, at) {
@@ -148,7 +150,7 @@
                 let keep_conn = record[2] & KEEP_CONN != 0;
                 self.partial.push(Partial { number, keep_conn, since: now, ..Partial::default() });
             }
-            (BEGIN_REQUEST, _) => return Err(Fault("a FastCGI request begun twice or malformed")),
+            (BEGIN_REQUEST, _) => return Err(StreamError("a FastCGI request begun twice or malformed")),
             (ABORT_REQUEST, Some(at)) => {
                 let refused = self.partial.swap_remove(at).refused;
                 return Ok((!refused).then(|| Message::Reply(end(number, COMPLETE))));
@@ -186,37 +188,37 @@
 
     fn whole(self) -> Request {
         let (params, body) = (self.params.freeze(), self.body.freeze());
-        let long = params.len() + body.len();
+        let size = params.len() + body.len();
         let (number, keep_conn) = (self.number, self.keep_conn);
-        let mut request = Request { number, keep_conn, body, long, ..Request::default() };
+        let mut request = Request { number, keep_conn, body, size, ..Request::default() };
         let read = pairs(params, |name, value| {
             let field = match &name[..] {
                 b"SCRIPT_NAME" => &mut request.path,
                 b"HTTP_REQUEST_ID" => &mut request.id,
                 b"HTTP_BUDGET_MS" => &mut request.budget,
                 b"HTTP_RESOURCE_KEY" => &mut request.key,
-                b"HTTP_X_CHUNK" => &mut request.part,
+                b"HTTP_X_CHUNK" => &mut request.chunk,
                 b"HTTP_X_TAG" => &mut request.group,
-                b"HTTP_X_KNOWN" => &mut request.held,
+                b"HTTP_X_KNOWN" => &mut request.held_version,
                 b"HTTP_ONCE_KEY" => &mut request.token,
-                b"HTTP_X_FIRST_ID" => &mut request.first,
+                b"HTTP_X_FIRST_ID" => &mut request.first_id,
                 b"HTTP_X_TRY" => &mut request.attempt,
                 _ => return,
             };
             *field = value;
         });
-        request.spoilt = !self.params_done || read.is_none();
+        request.is_malformed = !self.params_done || read.is_none();
         request
     }
 }
 
-/// Cuts the next whole record out of what came in: its type, its request's number and its content.
-pub(super) fn cut(inbound: &mut BytesMut) -> Result<Option<(u8, u16, Bytes)>, Fault> {
+/// Takes the next complete record out of `inbound`: its type, the number of its request and its content.
+pub(super) fn next_record(inbound: &mut BytesMut) -> Result<Option<(u8, u16, Bytes)>, StreamError> {
     if inbound.len() < HEADER {
         return Ok(None);
     }
     if inbound[0] != VERSION {
-        return Err(Fault("a FastCGI record of another version"));
+        return Err(StreamError("a FastCGI record of another version"));
     }
     let (kind, number) = (inbound[1], u16::from_be_bytes([inbound[2], inbound[3]]));
     let long = usize::from(u16::from_be_bytes([inbound[4], inbound[5]]));
@@ -254,27 +256,28 @@
 
 /// Answers records that belong to no request. Of the values that may be asked for only the one that never changes
 /// is told; names left out are taken as unknown.
-fn management(kind: u8, record: Bytes) -> Result<Option<Message>, Fault> {
+fn management(kind: u8, record: Bytes) -> Result<Option<Message>, StreamError> {
     const MULTIPLEXES: &[u8] = b"FCGI_MPXS_CONNS";
     let mut out = BytesMut::new();
     if kind == GET_VALUES {
         let mut asked = false;
         pairs(record, |name, _| asked |= &name[..] == MULTIPLEXES)
-            .ok_or(Fault("FastCGI values that can't be read"))?;
-        header(&mut out, GET_VALUES_RESULT, 0, if asked { MULTIPLEXES.len() + 3 } else { 0 });
+            .ok_or(StreamError("FastCGI values that can't be read"))?;
+        write_record_header(&mut out, GET_VALUES_RESULT, 0, if asked { MULTIPLEXES.len() + 3 } else { 0 });
         if asked {
             out.put_slice(&[MULTIPLEXES.len() as u8, 1]);
             out.put_slice(MULTIPLEXES);
             out.put_u8(b'1');
         }
     } else {
-        header(&mut out, UNKNOWN_TYPE, 0, 8);
+        write_record_header(&mut out, UNKNOWN_TYPE, 0, 8);
         out.put_slice(&[kind, 0, 0, 0, 0, 0, 0, 0]);
     }
     Ok(Some(Message::Reply(out.freeze())))
 }
 
-pub(super) fn header(out: &mut BytesMut, kind: u8, number: u16, long: usize) {
+/// Writes the header of a record.
+pub(super) fn write_record_header(out: &mut BytesMut, kind: u8, number: u16, long: usize) {
     debug_assert!(long <= 0xffff, "a record is at most 65,535 bytes");
     out.put_slice(&[VERSION, kind]);
     out.put_u16(number);
@@ -289,32 +292,38 @@
     out.freeze()
 }
 
-/// The end of a request that its client aborted.
-pub fn end_aborted(number: u16) -> Bytes {
+/// The `FCGI_END_REQUEST` record of a request that its client aborted.
+pub fn end_request_aborted(number: u16) -> Bytes {
     end(number, COMPLETE)
 }
 
-/// The end of a request that was never sent on; trying again is harmless.
-pub fn end_overloaded(number: u16) -> Bytes {
+/// The `FCGI_END_REQUEST` record of a request that was never forwarded, so that a retry is safe.
+pub fn end_request_overloaded(number: u16) -> Bytes {
     end(number, OVERLOADED)
 }
 
 fn put_end(out: &mut BytesMut, number: u16, status: u8) {
-    header(out, END_REQUEST, number, 8);
+    write_record_header(out, END_REQUEST, number, 8);
     out.put_slice(&[0, 0, 0, 0, status, 0, 0, 0]);
 }
 
-/// Writes a whole answer: its head, the body as the bytes that came, and the end.
-pub fn answer(pen: &mut BytesMut, number: u16, head: &[u8], mut body: Bytes, mut out: impl FnMut(Bytes)) {
-    header(pen, STDOUT, number, head.len());
+/// Writes a complete response: its head, the body without copying it, and the end. `out` receives the parts in order.
+pub fn write_response(
+    pen: &mut BytesMut,
+    number: u16,
+    head: &[u8],
+    mut body: Bytes,
+    mut out: impl FnMut(Bytes),
+) {
+    write_record_header(pen, STDOUT, number, head.len());
     pen.put_slice(head);
     while !body.is_empty() {
-        let part = body.split_to(body.len().min(RECORD_MOST));
-        header(pen, STDOUT, number, part.len());
+        let part = body.split_to(body.len().min(MAX_RECORD_CONTENT));
+        write_record_header(pen, STDOUT, number, part.len());
         out(pen.split().freeze());
         out(part);
     }
-    header(pen, STDOUT, number, 0);
+    write_record_header(pen, STDOUT, number, 0);
     put_end(pen, number, COMPLETE);
     out(pen.split().freeze());
 }
--- a/crates/wire/src/protocol/fastcgi_client.rs
+++ b/crates/wire/src/protocol/fastcgi_client.rs
@@ -1,9 +1,9 @@
-//! FastCGI 1.0 from the client's side: requests out, answers in. No I/O.
+//! FastCGI 1.0 on the client side: writes requests, reads responses. No I/O.
 
-use super::Fault;
+use super::StreamError;
 use super::fastcgi::{
-    self, ABORT_REQUEST, BEGIN_REQUEST, COMPLETE, END_REQUEST, KEEP_CONN, OVERLOADED, PARAMS, RECORD_MOST,
-    RESPONDER, STDIN, STDOUT, header,
+    self, ABORT_REQUEST, BEGIN_REQUEST, COMPLETE, END_REQUEST, KEEP_CONN, MAX_RECORD_CONTENT, OVERLOADED,
+    PARAMS, RESPONDER, STDIN, STDOUT, write_record_header,
 };
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
@@ -12,9 +12,9 @@
 /// Bytes of an answer's head.
 const HEAD_MOST: usize = 8 * 1024;
 
-/// Writes a whole request.
-pub fn request(out: &mut BytesMut, number: u16, params: &[(&str, &[u8])], body: &[u8]) {
-    header(out, BEGIN_REQUEST, number, 8);
+/// Writes a complete request.
+pub fn write_request(out: &mut BytesMut, number: u16, params: &[(&str, &[u8])], body: &[u8]) {
+    write_record_header(out, BEGIN_REQUEST, number, 8);
     out.put_u16(RESPONDER);
     out.put_slice(&[KEEP_CONN, 0, 0, 0, 0, 0]);
     let mut told = BytesMut::new();
@@ -29,59 +29,60 @@
         told.put_slice(value);
     }
     for (kind, bytes) in [(PARAMS, &told[..]), (STDIN, body)] {
-        for part in bytes.chunks(RECORD_MOST) {
-            header(out, kind, number, part.len());
+        for part in bytes.chunks(MAX_RECORD_CONTENT) {
+            write_record_header(out, kind, number, part.len());
             out.put_slice(part);
         }
-        header(out, kind, number, 0);
+        write_record_header(out, kind, number, 0);
     }
 }
 
-/// Calls a request off.
-pub fn abort(out: &mut BytesMut, number: u16) {
-    header(out, ABORT_REQUEST, number, 0);
+/// Writes an abort of a request.
+pub fn write_abort(out: &mut BytesMut, number: u16) {
+    write_record_header(out, ABORT_REQUEST, number, 0);
 }
 
-/// How an answer ends its request.
+/// A complete response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub number: u16,
-    /// As HTTP has it; none: the protocol itself says that the other side is overloaded.
+    /// The HTTP status, or `None` if the FastCGI end record says that the server is overloaded.
     pub status: Option<u16>,
-    /// `Back-Off-Ms` as it was written.
-    pub back_off: Option<Bytes>,
-    /// The copy that the client holds is the one.
-    pub valid: bool,
+    /// The value of `Back-Off-Ms`, as received.
+    pub back_off_ms: Option<Bytes>,
+    /// Whether the copy that the client holds is current.
+    pub is_held_copy_valid: bool,
     pub body: Bytes,
 }
 
-/// The answers of one connection that are not yet whole.
+/// Reads the responses of one connection and holds those that are still incomplete.
 #[derive(Default)]
-pub struct Answers {
+pub struct ResponseReader {
     partial: Vec<(u16, BytesMut)>,
 }
 
-impl Answers {
-    /// Bytes of answers that are not yet whole.
-    pub fn long(&self) -> usize {
+impl ResponseReader {
+    /// Bytes of incomplete responses.
+    pub fn buffered_bytes(&self) -> usize {
         self.partial.iter().map(|(_, bytes)| bytes.len()).sum()
     }
 
-    /// The next whole answer; none until more has come. `open`: whether a request of this number is out.
+    /// The next complete response, or `None` until more bytes arrive. `open` returns whether a request of this number is
+    /// outstanding.
     ///
     /// # Errors
-    /// What can't be read, is over a bound, or belongs to no request: the connection is of no further use.
-    pub fn next(
+    /// A response is invalid, exceeds a limit or belongs to no request. The connection can no longer be used.
+    pub fn next_response(
         &mut self,
         inbound: &mut BytesMut,
         open: impl Fn(u16) -> bool,
-    ) -> Result<Option<Answer>, Fault> {
-        while let Some((kind, number, record)) = fastcgi::cut(inbound)? {
+    ) -> Result<Option<Response>, StreamError> {
+        while let Some((kind, number, record)) = fastcgi::next_record(inbound)? {
             if !matches!(kind, STDOUT | END_REQUEST) || number == 0 {
                 continue;
             }
             if !open(number) {
-                return Err(Fault("an answer that belongs to no request"));
+                return Err(StreamError("an answer that belongs to no request"));
             }
             let at = self.partial.iter().position(|(known, _)| *known == number);
             if kind == STDOUT {
@@ -91,54 +92,55 @@
                 });
                 let bytes = &mut self.partial[at].1;
                 if bytes.len() + record.len() > ANSWER_MOST {
-                    return Err(Fault("an answer over the bound"));
+                    return Err(StreamError("an answer over the bound"));
                 }
                 bytes.extend_from_slice(&record);
                 continue;
             }
             if record.len() != 8 {
-                return Err(Fault("the end of a request that is malformed"));
+                return Err(StreamError("the end of a request that is malformed"));
             }
             let bytes = at.map(|at| self.partial.swap_remove(at).1).unwrap_or_default();
             return match record[4] {
                 OVERLOADED => {
-                    let (back_off, body) = (None, Bytes::new());
-                    Ok(Some(Answer { number, status: None, back_off, valid: false, body }))
+                    let (back_off_ms, body) = (None, Bytes::new());
+                    Ok(Some(Response { number, status: None, back_off_ms, is_held_copy_valid: false, body }))
                 }
                 COMPLETE => read(number, bytes.freeze()).map(Some),
-                _ => Err(Fault("an end that the protocol does not know")),
+                _ => Err(StreamError("an end that the protocol does not know")),
             };
         }
         Ok(None)
     }
 
-    /// Passes over what has come of a request that was called off.
-    pub fn forget(&mut self, number: u16) {
+    /// Discards the incomplete response to a request that was aborted.
+    pub fn discard(&mut self, number: u16) {
         self.partial.retain(|(known, _)| *known != number);
     }
 }
 
 /// Reads the CGI response.
-fn read(number: u16, mut bytes: Bytes) -> Result<Answer, Fault> {
-    let bad = Fault("an answer without a head");
+fn read(number: u16, mut bytes: Bytes) -> Result<Response, StreamError> {
+    let bad = StreamError("an answer without a head");
     let look = &bytes[..bytes.len().min(HEAD_MOST)];
     let end = look.windows(4).position(|four| four == b"\r\n\r\n").ok_or(bad)?;
     let head = bytes.split_to(end);
     bytes.advance(4);
-    let mut answer = Answer { number, status: Some(200), back_off: None, valid: false, body: bytes };
+    let mut answer =
+        Response { number, status: Some(200), back_off_ms: None, is_held_copy_valid: false, body: bytes };
     for line in head.split(|&b| b == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         let Some(colon) = line.iter().position(|&b| b == b':') else {
-            return Err(Fault("a line of an answer's head without a colon"));
+            return Err(StreamError("a line of an answer's head without a colon"));
         };
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"status") {
             let code = value.get(..3).and_then(|code| std::str::from_utf8(code).ok()?.parse().ok());
-            answer.status = Some(code.ok_or(Fault("an answer whose status is no number"))?);
+            answer.status = Some(code.ok_or(StreamError("an answer whose status is no number"))?);
         } else if name.eq_ignore_ascii_case(b"back-off-ms") {
-            answer.back_off = Some(head.slice_ref(value));
+            answer.back_off_ms = Some(head.slice_ref(value));
         } else if name.eq_ignore_ascii_case(b"x-valid") {
-            answer.valid = value == b"1";
+            answer.is_held_copy_valid = value == b"1";
         }
     }
     Ok(answer)
--- a/crates/wire/src/protocol/mod.rs
+++ b/crates/wire/src/protocol/mod.rs
@@ -1,11 +1,10 @@
-//! What bytes mean, as parsers and writers without I/O: FastCGI to clients, RESP to hosts, HTTP and JSON to the
-//! change log.
+//! Parsers and writers without I/O: FastCGI for clients, RESP for hosts, HTTP and JSON for the change log.
 
 pub mod changelog;
 pub mod fastcgi;
 pub mod fastcgi_client;
 pub mod resp;
 
-/// A stream that can't be read on; what was wrong.
+/// The reason why a stream can't be used any further: invalid bytes, or a failed, silent or lost connection.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Fault(pub &'static str);
+pub struct StreamError(pub &'static str);
--- a/crates/wire/src/protocol/resp.rs
+++ b/crates/wire/src/protocol/resp.rs
@@ -1,11 +1,11 @@
-//! RESP to hosts: commands out, answers in, both as arrays of bulk strings. Written here rather than taken from a
-//! crate, for lengths have to be bounded before they are waited for.
+//! RESP for hosts: writes commands, reads replies, both as arrays of bulk strings. Implemented here rather than taken
+//! from a crate, because lengths have to be checked against a limit before their content is awaited.
 
-use super::Fault;
+use super::StreamError;
 use bytes::{BufMut, Bytes, BytesMut};
 use std::fmt::Write;
 
-/// Bytes of an answer's id, word, fields and body; the protocol page allows objects of 240,000.
+/// Bytes of an answer's id, status, fields and body; the protocol page allows objects of 240,000.
 const ELEMENT_MOST: [usize; ELEMENTS] = [ID_LONG, 16, 4096, 256 * 1024];
 /// Digits of an id.
 const ID_LONG: usize = 16;
@@ -13,16 +13,16 @@
 const LINE_MOST: usize = 16;
 const ELEMENTS: usize = 4;
 
-/// One answer of a host.
+/// One reply of a host.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Reply {
     pub id: Bytes,
-    pub word: Bytes,
+    pub status: Bytes,
     pub fields: Bytes,
     pub body: Bytes,
 }
 
-impl Answer {
+impl Reply {
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&[u8]> {
         self.fields.split(|&b| b == b',').find_map(|field| {
@@ -33,31 +33,35 @@
 }
 
 /// Reads a length line; none until it is whole. What comes back is the length and where the line ends.
-fn length(bytes: &[u8], from: usize, mark: u8) -> Result<Option<(usize, usize)>, Fault> {
+fn length(bytes: &[u8], from: usize, mark: u8) -> Result<Option<(usize, usize)>, StreamError> {
     let line = &bytes[from.min(bytes.len())..];
     if line.first().is_some_and(|&b| b != mark) {
-        return Err(Fault("a RESP answer that is no array of bulk strings"));
+        return Err(StreamError("a RESP answer that is no array of bulk strings"));
     }
     let Some(end) = line.iter().take(LINE_MOST).position(|&b| b == b'\n') else {
-        return if line.len() < LINE_MOST { Ok(None) } else { Err(Fault("a RESP length that does not end")) };
+        return if line.len() < LINE_MOST {
+            Ok(None)
+        } else {
+            Err(StreamError("a RESP length that does not end"))
+        };
     };
     let digits = line[..end].strip_suffix(b"\r").and_then(|l| l.get(1..)).unwrap_or_default();
     let digits = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
-    let long = digits.and_then(|d| d.parse().ok()).ok_or(Fault("a RESP length that is no number"))?;
+    let long = digits.and_then(|d| d.parse().ok()).ok_or(StreamError("a RESP length that is no number"))?;
     Ok(Some((long, from + end + 1)))
 }
 
-/// Takes the next answer out of what came in; none until it is whole.
-pub fn next(inbound: &mut BytesMut) -> Result<Option<Answer>, Fault> {
+/// Takes the next reply out of `inbound`, or returns `None` until the reply is complete.
+pub fn next_reply(inbound: &mut BytesMut) -> Result<Option<Reply>, StreamError> {
     let Some((elements, mut at)) = length(inbound, 0, b'*')? else { return Ok(None) };
     if elements != ELEMENTS {
-        return Err(Fault("a RESP answer of another number of elements"));
+        return Err(StreamError("a RESP answer of another number of elements"));
     }
     let mut spans = [(0, 0); ELEMENTS];
     for (span, most) in spans.iter_mut().zip(ELEMENT_MOST) {
         let Some((long, from)) = length(inbound, at, b'$')? else { return Ok(None) };
         if long > most {
-            return Err(Fault("a RESP element over the bound"));
+            return Err(StreamError("a RESP element over the bound"));
         }
         at = from + long + 2;
         if inbound.len() < at {
@@ -65,16 +69,16 @@
             return Ok(None);
         }
         if &inbound[at - 2..at] != b"\r\n" {
-            return Err(Fault("a RESP element that runs on"));
+            return Err(StreamError("a RESP element that runs on"));
         }
         *span = (from, from + long);
     }
     let whole = inbound.split_to(at).freeze();
-    let [id, word, fields, body] = spans.map(|(from, to)| whole.slice(from..to));
+    let [id, status, fields, body] = spans.map(|(from, to)| whole.slice(from..to));
     if id.len() != ID_LONG || !id.iter().all(u8::is_ascii_hexdigit) {
-        return Err(Fault("a RESP answer under no id"));
+        return Err(StreamError("a RESP answer under no id"));
     }
-    Ok(Some(Answer { id, word, fields, body }))
+    Ok(Some(Reply { id, status, fields, body }))
 }
 
 fn element(out: &mut BytesMut, bytes: &[u8]) {
@@ -83,14 +87,16 @@
     out.put_slice(b"\r\n");
 }
 
-pub fn serve(out: &mut BytesMut, id: &[u8], fields: &[u8], body: &[u8]) {
+/// Writes a `serve` command.
+pub fn write_serve(out: &mut BytesMut, id: &[u8], fields: &[u8], body: &[u8]) {
     out.put_slice(b"*4\r\n$5\r\nserve\r\n");
     element(out, id);
     element(out, if fields.is_empty() { b"-" } else { fields });
     element(out, body);
 }
 
-pub fn cancel(out: &mut BytesMut, id: &[u8]) {
+/// Writes a `cancel` command.
+pub fn write_cancel(out: &mut BytesMut, id: &[u8]) {
     out.put_slice(b"*2\r\n$6\r\ncancel\r\n");
     element(out, id);
 }
--- a/crates/wire/src/transport/closing.rs
+++ b/crates/wire/src/transport/closing.rs
@@ -1,10 +1,11 @@
-//! Connections that are being closed, in steps: what waits goes out, nothing more is sent, what still comes is read and
-//! thrown away until the other side closes too or a bound is up.
+//! Lingering close of connections: pending bytes are written, the write side is shut down, and incoming bytes are
+//! discarded until the peer closes too or a time limit expires.
 //!
-//! Guards against a close over unread bytes, which resets a connection, and with it what the other side has not read yet.
-//! It hurts by a descriptor for as long as the other side takes; where there are too many, the oldest goes at once.
+//! Closing a socket with unread bytes resets the connection, which destroys what the peer has not read yet. The lingering
+//! close prevents this. It costs a descriptor until the peer closes; above the limit the oldest connection is closed
+//! immediately.
 
-use super::{Connection, Owner, Reading};
+use super::{Connection, ReadOutcome, ReadinessHandler};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -14,12 +15,13 @@
 /// Bytes thrown away in one turn; what more there is waits for the next.
 const DISCARD_MOST: usize = 256 * 1024;
 
-pub struct Closing<O: Owner> {
+/// Connections in a lingering close, oldest first.
+pub struct ClosingConnections<O: ReadinessHandler> {
     list: VecDeque<Step<O>>,
     most: usize,
 }
 
-struct Step<O: Owner> {
+struct Step<O: ReadinessHandler> {
     key: O::Key,
     connection: Connection<O>,
     until: Duration,
@@ -27,37 +29,37 @@
     half: bool,
 }
 
-impl<O: Owner> Step<O> {
+impl<O: ReadinessHandler> Step<O> {
     /// Goes on as far as it can; whether it is over, and whether there is more to read.
     fn go_on(&mut self, shared: &mut [u8]) -> (bool, bool) {
         if !self.half {
             if self.connection.flush().is_err() {
                 return (true, false);
             }
-            if self.connection.waiting() == 0 {
+            if self.connection.unsent_bytes() == 0 {
                 self.connection.half_close();
                 self.half = true;
             }
         }
         match self.connection.discard(shared, DISCARD_MOST) {
-            Reading::Ended => (true, false),
-            Reading::Dry => (false, false),
-            Reading::More => (false, true),
+            ReadOutcome::Closed => (true, false),
+            ReadOutcome::Drained => (false, false),
+            ReadOutcome::More => (false, true),
         }
     }
 }
 
-impl<O: Owner> Closing<O>
+impl<O: ReadinessHandler> ClosingConnections<O>
 where
     O::Key: PartialEq,
 {
-    /// At most so many at once.
+    /// Creates a set that holds at most `most` connections.
     pub fn new(most: usize) -> Self {
         Self { list: VecDeque::new(), most }
     }
 
-    /// Begins to close a connection; `key` is what its owner is told of it.
-    pub fn begin(&mut self, key: O::Key, connection: Connection<O>, shared: &mut [u8], now: Duration) {
+    /// Starts to close a connection. The handler is still called with `key` when the connection is ready.
+    pub fn start_close(&mut self, key: O::Key, connection: Connection<O>, shared: &mut [u8], now: Duration) {
         let mut step = Step { key, connection, until: now + LINGERS, half: false };
         if step.go_on(shared).0 {
             return;
@@ -68,7 +70,8 @@
         }
     }
 
-    /// One of them can go on, by its key; none: no such connection is being closed. True: there is more to read.
+    /// Continues to close the connection registered under `key`. Returns whether there may be more to read, or `None` if
+    /// no such connection is being closed.
     pub fn on_ready(&mut self, key: O::Key, shared: &mut [u8]) -> Option<bool> {
         let at = self.list.iter().position(|step| step.key == key)?;
         let (over, more) = self.list[at].go_on(shared);
@@ -78,13 +81,14 @@
         Some(more)
     }
 
-    /// Ends those whose time is up.
+    /// Closes the connections whose time limit has expired.
     pub fn expire(&mut self, now: Duration) {
         while self.list.front().is_some_and(|step| now >= step.until) {
             self.list.pop_front();
         }
     }
 
+    /// The keys of all connections that are being closed.
     pub fn keys(&self) -> impl Iterator<Item = O::Key> {
         self.list.iter().map(|step| step.key)
     }
--- a/crates/wire/src/transport/connection.rs
+++ b/crates/wire/src/transport/connection.rs
@@ -1,7 +1,7 @@
-//! One connection: a socket that never blocks, what came in and was not yet read by a parser, and what waits to go
-//! out. Its callback in the loop only tells the owner that it is ready.
+//! One connection: a non-blocking socket, the bytes that were read but not parsed yet, and the messages that wait to be
+//! written. Its event loop callback only notifies the handler that the socket is ready.
 
-use super::{Accounts, Hub, Owner, watch};
+use super::{EventLoopHandle, ReadinessHandler, ResourceUsage, register_socket};
 use bytes::{Bytes, BytesMut};
 use calloop::{Interest, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -15,22 +15,23 @@
 /// Pieces handed to the system in one write.
 const PIECES: usize = 32;
 
-/// What a read came to.
+/// How a read ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Reading {
-    /// All that had come was read.
-    Dry,
-    /// More may be there.
+pub enum ReadOutcome {
+    /// All available bytes were read.
+    Drained,
+    /// There may be more to read.
     More,
-    /// The other side has closed or broken the connection.
-    Ended,
+    /// The peer has closed the connection, or it failed.
+    Closed,
 }
 
-pub struct Connection<O: Owner> {
-    hub: Hub<O>,
+/// A buffered, non-blocking TCP connection registered with an event loop.
+pub struct Connection<O: ReadinessHandler> {
+    hub: EventLoopHandle<O>,
     stream: Rc<TcpStream>,
     registration: RegistrationToken,
-    accounts: Rc<Accounts>,
+    accounts: Rc<ResourceUsage>,
     inbound: BytesMut,
     /// Messages that wait to go out, each with its number; of the first a part may have gone.
     outbound: VecDeque<(u64, Bytes)>,
@@ -43,19 +44,25 @@
     up: bool,
 }
 
-impl<O: Owner> Connection<O> {
-    pub fn accepted(
-        hub: &Hub<O>,
+impl<O: ReadinessHandler> Connection<O> {
+    /// Registers an accepted connection.
+    pub fn from_accepted(
+        hub: &EventLoopHandle<O>,
         stream: TcpStream,
         key: O::Key,
-        accounts: &Rc<Accounts>,
+        accounts: &Rc<ResourceUsage>,
     ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         Self::register(hub, stream, key, accounts, true)
     }
 
-    /// Starts to connect; `is_up` tells when it has come about.
-    pub fn opening(hub: &Hub<O>, to: SocketAddr, key: O::Key, accounts: &Rc<Accounts>) -> io::Result<Self> {
+    /// Starts to connect; [`Connection::is_connected`] returns whether it has succeeded.
+    pub fn connect(
+        hub: &EventLoopHandle<O>,
+        to: SocketAddr,
+        key: O::Key,
+        accounts: &Rc<ResourceUsage>,
+    ) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
         match socket.connect(&to.into()) {
             Err(e) if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock => Err(e),
@@ -64,15 +71,15 @@
     }
 
     fn register(
-        hub: &Hub<O>,
+        hub: &EventLoopHandle<O>,
         stream: TcpStream,
         key: O::Key,
-        accounts: &Rc<Accounts>,
+        accounts: &Rc<ResourceUsage>,
         up: bool,
     ) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        let registration = watch(hub, &stream, Interest::BOTH, key)?;
+        let registration = register_socket(hub, &stream, Interest::BOTH, key)?;
         accounts.descriptors.add(1);
         Ok(Self {
             hub: hub.clone(),
@@ -89,8 +96,11 @@
         })
     }
 
-    /// Whether the connection has come about; an error tells that it never will.
-    pub fn is_up(&mut self) -> io::Result<bool> {
+    /// Whether the connection is established.
+    ///
+    /// # Errors
+    /// The connection attempt has failed.
+    pub fn is_connected(&mut self) -> io::Result<bool> {
         if !self.up {
             if let Some(e) = self.stream.take_error()? {
                 return Err(e);
@@ -100,22 +110,22 @@
         Ok(self.up)
     }
 
-    /// Reads what has come, by way of a buffer that all connections share; not much over `most` bytes in one turn, so
-    /// that one that is never dry can't keep the others waiting.
-    pub fn read(&mut self, shared: &mut [u8], most: usize) -> Reading {
+    /// Reads the available bytes through a buffer that all connections share. Stops soon after `most` bytes, so that a
+    /// connection that always has more to read can't starve the others.
+    pub fn read(&mut self, shared: &mut [u8], most: usize) -> ReadOutcome {
         let Self { stream, inbound, accounts, .. } = self;
         receive(stream, shared, most, |bytes| {
             inbound.extend_from_slice(bytes);
-            accounts.buffered.add(bytes.len());
+            accounts.buffered_bytes.add(bytes.len());
             accounts.bytes_in.add(bytes.len());
         })
     }
 
-    /// Lets a parser take from what came in; what it took is no longer counted as held here.
+    /// Applies a parser to the bytes that were read. What it consumes is no longer counted as buffered.
     pub fn parse<T>(&mut self, parser: impl FnOnce(&mut BytesMut) -> T) -> T {
         let before = self.inbound.len();
         let parsed = parser(&mut self.inbound);
-        self.accounts.buffered.take(before - self.inbound.len());
+        self.accounts.buffered_bytes.subtract(before - self.inbound.len());
         if self.inbound.is_empty() && self.inbound.capacity() > KEPT {
             // A large message is over; what is left of its buffer would stay with an idle connection.
             self.inbound = BytesMut::new();
@@ -123,49 +133,54 @@
         parsed
     }
 
-    /// Hands a message over to go out; its number, by which it can be asked for and taken back.
-    pub fn push(&mut self, bytes: Bytes) -> u64 {
+    /// Queues a message to be written and returns its number, for [`Connection::is_written`] and
+    /// [`Connection::cancel_unsent`].
+    pub fn enqueue(&mut self, bytes: Bytes) -> u64 {
         let number = self.messages;
         if !bytes.is_empty() {
             self.messages += 1;
             self.waiting += bytes.len();
-            self.accounts.buffered.add(bytes.len());
+            self.accounts.buffered_bytes.add(bytes.len());
             self.outbound.push_back((number, bytes));
         }
         number
     }
 
-    /// Whether the system has taken a message whole.
-    pub fn has_left(&self, number: u64) -> bool {
+    /// Whether a message was completely handed to the operating system.
+    pub fn is_written(&self, number: u64) -> bool {
         self.outbound.front().is_none_or(|&(first, _)| number < first)
     }
 
-    /// Takes a message back of which not a byte has gone out; false: a part has, and the rest follows.
+    /// Removes a message from the queue if none of its bytes were written. Returns false if a part was written, in which
+    /// case the rest follows, or if the message is no longer queued.
     ///
-    /// Guards a peer that reads nothing for a while against what was given up meanwhile and would still come whole.
-    pub fn take_back(&mut self, number: u64) -> bool {
+    /// Without this, a peer that reads nothing for a while would still receive requests that were abandoned meanwhile.
+    pub fn cancel_unsent(&mut self, number: u64) -> bool {
         let Some(at) = self.outbound.iter().position(|&(waiting, _)| waiting == number) else { return false };
         if at == 0 && self.begun {
             return false;
         }
         let long = self.outbound.remove(at).map_or(0, |(_, bytes)| bytes.len());
         self.waiting -= long;
-        self.accounts.buffered.take(long);
+        self.accounts.buffered_bytes.subtract(long);
         true
     }
 
-    /// Tells the other side that nothing more will come; what it writes can still be read.
+    /// Shuts down the write side. What the peer sends can still be read.
     pub fn half_close(&self) {
         // One that is broken already needs no telling.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Reads what has come and throws it away, as far as `read` would go.
-    pub fn discard(&mut self, shared: &mut [u8], most: usize) -> Reading {
+    /// Reads and discards the available bytes, up to the same limit as [`Connection::read`].
+    pub fn discard(&mut self, shared: &mut [u8], most: usize) -> ReadOutcome {
         receive(&self.stream, shared, most, |_| ())
     }
 
-    /// Writes what the system takes; an error tells that the connection is over.
+    /// Writes as many queued bytes as the operating system accepts.
+    ///
+    /// # Errors
+    /// The connection has failed.
     pub fn flush(&mut self) -> io::Result<()> {
         while !self.outbound.is_empty() {
             let mut pieces = [IoSlice::new(&[]); PIECES];
@@ -187,7 +202,7 @@
     fn sent(&mut self, mut n: usize) {
         self.flushed += n as u64;
         self.waiting -= n;
-        self.accounts.buffered.take(n);
+        self.accounts.buffered_bytes.subtract(n);
         self.accounts.bytes_out.add(n);
         while let Some((_, first)) = self.outbound.front_mut().filter(|_| n > 0) {
             let part = n.min(first.len());
@@ -201,50 +216,57 @@
         }
     }
 
-    /// Bytes handed over so far, for an owner that takes nothing back.
-    pub fn pushed(&self) -> u64 {
+    /// Total bytes queued so far, for a caller that cancels no messages.
+    pub fn enqueued_bytes(&self) -> u64 {
         self.flushed + self.waiting as u64
     }
 
-    pub fn flushed(&self) -> u64 {
+    /// Total bytes handed to the operating system.
+    pub fn written_bytes(&self) -> u64 {
         self.flushed
     }
 
-    /// Bytes that came and were not parsed yet.
-    pub fn unread(&self) -> usize {
+    /// Bytes that were read but not parsed yet.
+    pub fn unparsed_bytes(&self) -> usize {
         self.inbound.len()
     }
 
-    pub fn waiting(&self) -> usize {
+    /// Queued bytes that were not written yet.
+    pub fn unsent_bytes(&self) -> usize {
         self.waiting
     }
 }
 
 /// Hands on what has come, as far as `most` allows.
-fn receive(mut stream: &TcpStream, shared: &mut [u8], most: usize, mut each: impl FnMut(&[u8])) -> Reading {
+fn receive(
+    mut stream: &TcpStream,
+    shared: &mut [u8],
+    most: usize,
+    mut each: impl FnMut(&[u8]),
+) -> ReadOutcome {
     let mut read = 0;
     while read < most {
         match stream.read(shared) {
-            Ok(0) => return Reading::Ended,
+            Ok(0) => return ReadOutcome::Closed,
             Ok(n) => {
                 read += n;
                 each(&shared[..n]);
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return Reading::Dry,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::Drained,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return Reading::Ended,
+            Err(_) => return ReadOutcome::Closed,
         }
     }
-    Reading::More
+    ReadOutcome::More
 }
 
 /// What Linux answers to a connect that goes on behind.
 const IN_PROGRESS: i32 = 115;
 
-impl<O: Owner> Drop for Connection<O> {
+impl<O: ReadinessHandler> Drop for Connection<O> {
     fn drop(&mut self) {
         self.hub.remove(self.registration);
-        self.accounts.buffered.take(self.inbound.len() + self.waiting());
-        self.accounts.descriptors.take(1);
+        self.accounts.buffered_bytes.subtract(self.inbound.len() + self.unsent_bytes());
+        self.accounts.descriptors.subtract(1);
     }
 }
--- a/crates/wire/src/transport/listener.rs
+++ b/crates/wire/src/transport/listener.rs
@@ -1,6 +1,6 @@
 //! The listening socket.
 
-use super::{Accounts, Hub, Owner, watch};
+use super::{EventLoopHandle, ReadinessHandler, ResourceUsage, register_socket};
 use calloop::{Interest, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, ErrorKind};
@@ -10,33 +10,38 @@
 /// Connections that the system keeps ready; a restart brings all clients at once.
 const BACKLOG: i32 = 1024;
 
-/// Closed as it is dropped; who still waits in its queue is reset.
-pub struct Listener<O: Owner> {
-    hub: Hub<O>,
+/// A listening socket, closed on drop. Connections that still wait in its backlog are reset.
+pub struct Listener<O: ReadinessHandler> {
+    hub: EventLoopHandle<O>,
     registration: RegistrationToken,
-    accounts: Rc<Accounts>,
+    accounts: Rc<ResourceUsage>,
     socket: Rc<TcpListener>,
 }
 
-impl<O: Owner> Listener<O> {
-    /// Listens at once, also where a process that has just ended did.
-    pub fn open(hub: &Hub<O>, at: SocketAddr, key: O::Key, accounts: &Rc<Accounts>) -> io::Result<Self> {
+impl<O: ReadinessHandler> Listener<O> {
+    /// Binds and listens, also on an address that a process which has just ended was using.
+    pub fn bind(
+        hub: &EventLoopHandle<O>,
+        at: SocketAddr,
+        key: O::Key,
+        accounts: &Rc<ResourceUsage>,
+    ) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.bind(&at.into())?;
         socket.listen(BACKLOG)?;
         let socket = Rc::new(TcpListener::from(socket));
-        let registration = watch(hub, &socket, Interest::READ, key)?;
+        let registration = register_socket(hub, &socket, Interest::READ, key)?;
         accounts.descriptors.add(1);
         Ok(Self { hub: hub.clone(), registration, accounts: Rc::clone(accounts), socket })
     }
 
-    /// Where it listens; the port is the system's choice where none was given.
+    /// The bound address. The operating system chooses the port if none was given.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The next connection that waits, if any.
+    /// The next pending connection, if any.
     pub fn accept(&self) -> io::Result<Option<TcpStream>> {
         loop {
             match self.socket.accept() {
@@ -49,9 +54,9 @@
     }
 }
 
-impl<O: Owner> Drop for Listener<O> {
+impl<O: ReadinessHandler> Drop for Listener<O> {
     fn drop(&mut self) {
         self.hub.remove(self.registration);
-        self.accounts.descriptors.take(1);
+        self.accounts.descriptors.subtract(1);
     }
 }
--- a/crates/wire/src/transport/mod.rs
+++ b/crates/wire/src/transport/mod.rs
@@ -1,15 +1,15 @@
-//! Bytes in and out: the loop, the listener, connections with their buffers, and the accounts of what they hold.
-//! Nothing here knows what the bytes mean.
+//! Non-blocking sockets on an event loop: the listener, connections with their buffers, and the accounting of the
+//! resources that they hold. Nothing here interprets the bytes.
 
-mod accounts;
 mod closing;
 mod connection;
 mod listener;
+mod resource_usage;
 
-pub use accounts::{Accounts, Gauge};
-pub use closing::Closing;
-pub use connection::{Connection, Reading};
+pub use closing::ClosingConnections;
+pub use connection::{Connection, ReadOutcome};
 pub use listener::Listener;
+pub use resource_usage::{Gauge, ResourceUsage};
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
@@ -17,27 +17,29 @@
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
-/// Where sources are added to the loop of an owner.
-pub type Hub<O> = calloop::LoopHandle<'static, O>;
+/// Handle of the event loop with which sockets are registered.
+pub type EventLoopHandle<O> = calloop::LoopHandle<'static, O>;
 
-/// Has the owner told whenever a socket can be read or, where wanted, written.
-fn watch<O: Owner, S: AsFd + 'static>(
-    hub: &Hub<O>,
+/// Registers a socket with the event loop, which calls the handler when the socket can be read or, if requested, written.
+fn register_socket<O: ReadinessHandler, S: AsFd + 'static>(
+    hub: &EventLoopHandle<O>,
     socket: &Rc<S>,
     interest: Interest,
     key: O::Key,
 ) -> io::Result<RegistrationToken> {
     let source = Generic::new(Rc::clone(socket), interest, Mode::Edge);
     let watched = hub.insert_source(source, move |_, _, owner: &mut O| {
-        owner.ready(key);
+        owner.on_socket_ready(key);
         Ok(PostAction::Continue)
     });
     watched.map_err(|e| io::Error::other(e.error))
 }
 
-/// Has connections and is told when one of them can be read or written.
-pub trait Owner: Sized + 'static {
+/// Owns sockets and is called when one of them can be read or written.
+pub trait ReadinessHandler: Sized + 'static {
+    /// Identifies a socket of the handler.
     type Key: Copy + 'static;
 
-    fn ready(&mut self, who: Self::Key);
+    /// Called when the socket registered under `key` can be read or written.
+    fn on_socket_ready(&mut self, key: Self::Key);
 }
--- a/crates/wire/tests/long_poll.rs
+++ b/crates/wire/tests/long_poll.rs
@@ -2,9 +2,9 @@
 
 use bytes::Bytes;
 use calloop::EventLoop;
-use myrtlegauge_wire::long_poll::LongPoll;
-use myrtlegauge_wire::protocol::Fault;
-use myrtlegauge_wire::transport::{Accounts, Hub, Owner};
+use myrtlegauge_wire::long_poll::LongPollClient;
+use myrtlegauge_wire::protocol::StreamError;
+use myrtlegauge_wire::transport::{EventLoopHandle, ReadinessHandler, ResourceUsage};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -16,19 +16,19 @@
 #[derive(Default)]
 struct Stirred(bool);
 
-impl Owner for Stirred {
+impl ReadinessHandler for Stirred {
     type Key = ();
 
-    fn ready(&mut self, (): ()) {
+    fn on_socket_ready(&mut self, (): ()) {
         self.0 = true;
     }
 }
 
 struct Rig {
     turns: EventLoop<'static, Stirred>,
-    hub: Hub<Stirred>,
-    accounts: Rc<Accounts>,
-    poll: LongPoll<Stirred>,
+    hub: EventLoopHandle<Stirred>,
+    accounts: Rc<ResourceUsage>,
+    poll: LongPollClient<Stirred>,
     began: Instant,
 }
 
@@ -36,8 +36,8 @@
     fn new(address: SocketAddr) -> Self {
         let turns = EventLoop::try_new().expect("a loop");
         let hub = turns.handle();
-        let accounts = Rc::new(Accounts::default());
-        Self { turns, hub, accounts, poll: LongPoll::new(address, ()), began: Instant::now() }
+        let accounts = Rc::new(ResourceUsage::default());
+        Self { turns, hub, accounts, poll: LongPollClient::new(address, ()), began: Instant::now() }
     }
 
     fn now(&self) -> Duration {
@@ -46,17 +46,17 @@
 
     fn ask(&mut self, query: &str, patience: Duration) {
         let give_up_at = self.now() + patience;
-        self.poll.ask(query, give_up_at, &self.hub, &self.accounts);
+        self.poll.start_poll(query, give_up_at, &self.hub, &self.accounts);
     }
 
     /// Turns the loop until the poll is answered or has failed.
-    fn outcome(&mut self) -> Result<Bytes, Fault> {
+    fn outcome(&mut self) -> Result<Bytes, StreamError> {
         let (mut stirred, mut shared) = (Stirred::default(), vec![0; 4096]);
         loop {
-            if let Some(outcome) = self.poll.next(self.now()) {
+            if let Some(outcome) = self.poll.take_result(self.now()) {
                 return outcome;
             }
-            let wait = self.poll.due().saturating_sub(self.now()).min(Duration::from_millis(10));
+            let wait = self.poll.deadline().saturating_sub(self.now()).min(Duration::from_millis(10));
             self.turns.dispatch(wait, &mut stirred).expect("the loop goes on");
             while std::mem::take(&mut stirred.0) || self.poll.on_ready(&mut shared) {}
             assert!(self.now() < PATIENCE, "neither answered nor failed");
@@ -104,7 +104,7 @@
     for number in 0..3 {
         rig.ask(&format!("since={number}&role=probe"), PATIENCE);
         assert_eq!(rig.outcome(), Ok(Bytes::from(format!("{{\"seq\":{number}}}"))));
-        assert!(!rig.poll.is_open());
+        assert!(!rig.poll.is_pending());
     }
     server.join().expect("it was asked as wanted");
 }
@@ -115,7 +115,7 @@
     drop(gone);
     let mut rig = Rig::new(address);
     rig.ask("since=0", PATIENCE);
-    assert!(rig.outcome().is_err_and(|Fault(what)| what.contains("refuses")));
+    assert!(rig.outcome().is_err_and(|StreamError(what)| what.contains("refuses")));
     assert!(rig.now() < PATIENCE / 2);
 }
 
@@ -124,8 +124,8 @@
     let (_silent, address) = listener();
     let mut rig = Rig::new(address);
     rig.ask("since=0", Duration::from_millis(200));
-    assert!(rig.outcome().is_err_and(|Fault(what)| what.contains("in time")));
-    assert!(rig.now() >= Duration::from_millis(200) && !rig.poll.is_open());
+    assert!(rig.outcome().is_err_and(|StreamError(what)| what.contains("in time")));
+    assert!(rig.now() >= Duration::from_millis(200) && !rig.poll.is_pending());
 }
 
 #[test]
@@ -138,7 +138,7 @@
     });
     let mut rig = Rig::new(address);
     rig.ask("since=0", PATIENCE);
-    assert!(rig.outcome().is_err_and(|Fault(what)| what.contains("lost")));
+    assert!(rig.outcome().is_err_and(|StreamError(what)| what.contains("lost")));
     server.join().expect("it was asked");
 }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 
 use bytes::BytesMut;
 use common::{record, request};
-use myrtlegauge_wire::protocol::{Fault, changelog, fastcgi, resp};
+use myrtlegauge_wire::protocol::{StreamError, changelog, fastcgi, resp};
 use std::fmt::Debug;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 fn same_at_every_split<M: Debug, P>(
     stream: &[u8],
     parser: impl Fn() -> P,
-    next: impl Fn(&mut P, &mut BytesMut) -> Result<Option<M>, Fault>,
+    next: impl Fn(&mut P, &mut BytesMut) -> Result<Option<M>, StreamError>,
 ) -> String {
     let read = |parts: &[&[u8]]| {
         let (mut state, mut inbound, mut read) = (parser(), BytesMut::new(), String::new());
@@ -43,8 +43,8 @@
     let third = [record(1, 3, &[0, 1, 1, 0, 0, 0, 0, 0]), record(2, 3, b"")].concat();
     let (half_one, half_two) = (one.len() - 28, two.len() - 11);
     let stream = [&one[..half_one], &two[..half_two], &third, &one[half_one..], &two[half_two..]].concat();
-    let read = same_at_every_split(&stream, fastcgi::Reader::default, |reader, inbound| {
-        reader.next::<()>(inbound, &[], Duration::ZERO)
+    let read = same_at_every_split(&stream, fastcgi::RequestReader::default, |reader, inbound| {
+        reader.next_message::<()>(inbound, &[], Duration::ZERO)
     });
     insta::assert_snapshot!(read);
 }
@@ -53,12 +53,12 @@
 fn resp_answers_split_anywhere() {
     let stream = b"*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\n200\r\n$22\r\nwhy=TCP_HIT,rev=ab,x=1\r\n$8\r\na\r\n$2\r\n\0\r\n\
         *4\r\n$16\r\n0000000000000002\r\n$3\r\n404\r\n$1\r\n-\r\n$0\r\n\r\n";
-    insta::assert_snapshot!(same_at_every_split(stream, || (), |(), inbound| resp::next(inbound)));
+    insta::assert_snapshot!(same_at_every_split(stream, || (), |(), inbound| resp::next_reply(inbound)));
 }
 
 #[test]
 fn the_poll_of_the_platforms_change_log_is_written_as_its_page_says() {
-    let poll = changelog::poll("127.0.0.1:4222", 7, 500);
+    let poll = changelog::poll_request("127.0.0.1:4222", 7, 500);
     assert_eq!(poll, "GET /changes?since=7&timeout=500 HTTP/1.1\r\nHost: 127.0.0.1:4222\r\n\r\n");
 }
 
@@ -66,7 +66,11 @@
 fn change_log_answers_split_anywhere() {
     let stream = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n\
         5\r\n{\"seq\r\n4\r\n\":1}\r\n0\r\n\r\n";
-    insta::assert_snapshot!(same_at_every_split(stream, || (), |(), inbound| changelog::next(inbound)));
+    insta::assert_snapshot!(same_at_every_split(
+        stream,
+        || (),
+        |(), inbound| changelog::next_answer(inbound)
+    ));
 }
 
 #[test]
@@ -83,7 +87,7 @@
         "*-1\r\n",
         "*4\r\n$+1\r\n",
     ] {
-        faults += &format!("{text:?}: {:?}\n", resp::next(&mut text.into()));
+        faults += &format!("{text:?}: {:?}\n", resp::next_reply(&mut text.into()));
     }
     for text in [
         "HTTP/1.1 500 Oh\r\n\r\n",
@@ -91,7 +95,7 @@
         "nonsense\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
     ] {
-        faults += &format!("{text:?}: {:?}\n", changelog::next(&mut text.into()));
+        faults += &format!("{text:?}: {:?}\n", changelog::next_answer(&mut text.into()));
     }
     let begin = record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]);
     for (what, bytes) in [
@@ -102,7 +106,9 @@
         let mut inbound = BytesMut::from(&bytes[..]);
         faults += &format!(
             "{what}: {:?}\n",
-            fastcgi::Reader::default().next::<()>(&mut inbound, &[], Duration::ZERO).unwrap_err()
+            fastcgi::RequestReader::default()
+                .next_message::<()>(&mut inbound, &[], Duration::ZERO)
+                .unwrap_err()
         );
     }
     insta::assert_snapshot!(faults);
@@ -131,11 +137,11 @@
                 *byte = chance.u8(..);
             }
         }
-        let mut reader = fastcgi::Reader::default();
+        let mut reader = fastcgi::RequestReader::default();
         let fed = || BytesMut::from(&bytes[..]);
         let (mut a, mut b, mut c) = (fed(), fed(), fed());
-        while let Ok(Some(_)) = reader.next(&mut a, &[(1, ())], Duration::ZERO) {}
-        while let Ok(Some(_)) = resp::next(&mut b) {}
-        while let Ok(Some(_)) = changelog::next(&mut c) {}
+        while let Ok(Some(_)) = reader.next_message(&mut a, &[(1, ())], Duration::ZERO) {}
+        while let Ok(Some(_)) = resp::next_reply(&mut b) {}
+        while let Ok(Some(_)) = changelog::next_answer(&mut c) {}
     }
 }
