--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -32,17 +32,17 @@
     last: Option<Forward>,
 }
 
-impl Dispatch for Sink {
-    fn forward(&mut self, _get: Place, forward: &Forward) {
+impl DecisionSink for Sink {
+    fn forward(&mut self, _get: GetIndex, forward: &Forward) {
         self.last = Some(*forward);
     }
 
-    fn withdraw(&mut self, _get: Place, _hop: u32) {}
-    fn shed(&mut self, _get: Place, _retry_after: Option<Duration>) {}
-    fn error(&mut self, _get: Place) {}
-    fn settled(&mut self, _get: Place) {}
-    fn wake(&mut self, _after: Duration) {}
-    fn follow_list(&mut self) {}
+    fn withdraw(&mut self, _get: GetIndex, _hop: u32) {}
+    fn shed(&mut self, _get: GetIndex, _retry_after: Option<Duration>) {}
+    fn error(&mut self, _get: GetIndex) {}
+    fn release(&mut self, _get: GetIndex) {}
+    fn schedule_wakeup(&mut self, _after: Duration) {}
+    fn subscribe_host_list(&mut self) {}
     fn log(&mut self, _line: std::fmt::Arguments<'_>) {}
 }
 
@@ -67,14 +67,22 @@
 }
 
 /// Caches and parents by turns, so that every second host is of each kind; the origin comes last.
-fn entry(host: HostIndex, hosts: usize) -> Entry {
+fn entry(host: HostIndex, hosts: usize) -> HostEntry {
     let (kind, zone) = match host {
         host if host == hosts => (2, 0),
         host if host % 2 == 1 => (1, host / 2 % HUBS),
         _ => (0, EDGE),
     };
-    let mark = mark(&format!("host {host}"));
-    Entry { host, mark, standing: Standing::On, zone, kind, units: 30.0, ..Entry::default() }
+    let mark = hash_host_id(&format!("host {host}"));
+    HostEntry {
+        host,
+        id_hash: mark,
+        status: HostStatus::Active,
+        zone,
+        kind,
+        weight: 30.0,
+        ..HostEntry::default()
+    }
 }
 
 /// Which hosts have failed, the origin included where all have.
@@ -114,7 +122,7 @@
         let now = Duration::from_secs(100);
         let mut bench = Self { router, sink: Sink::default(), now, hosts, object: 0 };
         let entries: Vec<_> = (0..=hosts).map(|host| entry(host, hosts)).collect();
-        bench.router.round(now, &mut bench.sink, |round| round.listed(ListKind::Whole, &entries));
+        bench.router.round(now, &mut bench.sink, |round| round.on_host_list(ListUpdate::Full, &entries));
         bench
     }
 
@@ -123,7 +131,7 @@
         self.now += REST_ENDS;
         let hosts = (0..=self.hosts).filter(|&host| failed.holds(host));
         self.router.round(self.now, &mut self.sink, |round| {
-            hosts.for_each(|host| (0..FAILURES).for_each(|_| round.reported(host, false)));
+            hosts.for_each(|host| (0..FAILURES).for_each(|_| round.on_host_report(host, false)));
         });
     }
 
@@ -139,21 +147,21 @@
             ..Get::default()
         };
         let place = self.router.round(self.now, &mut self.sink, |round| {
-            let place = round.next_place();
-            round.take(get);
+            let place = round.next_get_index();
+            round.on_get(get);
             place
         });
         if self.sink.last.is_some() {
             let outcome = Outcome {
-                hop: 0,
+                attempt: 0,
                 end: End::Returned,
-                spent: Duration::from_millis(100),
-                closed: true,
+                elapsed: Duration::from_millis(100),
+                is_answered: true,
                 note: Note::Hit,
                 source_wait: Duration::ZERO,
-                load: Load::default(),
+                load: LoadReport::default(),
             };
-            self.router.round(self.now, &mut self.sink, |round| round.outcome(place, &outcome));
+            self.router.round(self.now, &mut self.sink, |round| round.on_outcome(place, &outcome));
         }
     }
 
@@ -174,15 +182,16 @@
 
     fn woken(&mut self) {
         self.now += Duration::from_millis(25);
-        self.router.round(self.now, &mut self.sink, |round| round.woken());
+        self.router.round(self.now, &mut self.sink, |round| round.on_wakeup());
     }
 
     /// One host leaves, or comes back.
     fn change(&mut self) {
         self.object += 1;
-        let standing = if self.object.is_multiple_of(2) { Standing::On } else { Standing::Gone };
-        let changed = Entry { standing, ..entry(0, self.hosts) };
-        self.router.round(self.now, &mut self.sink, |round| round.listed(ListKind::Changes, [&changed]));
+        let standing = if self.object.is_multiple_of(2) { HostStatus::Active } else { HostStatus::Removed };
+        let changed = HostEntry { status: standing, ..entry(0, self.hosts) };
+        self.router
+            .round(self.now, &mut self.sink, |round| round.on_host_list(ListUpdate::Changes, [&changed]));
     }
 }
 
@@ -226,7 +235,8 @@
                 let mut left = requests;
                 while left > 0 {
                     bench.router.round(bench.now, &mut bench.sink, |round| {
-                        (0..count).for_each(|object| round.purged(Purged::Object(!object), Duration::ZERO));
+                        (0..count)
+                            .for_each(|object| round.on_purge(PurgeKey::Object(!object), Duration::ZERO));
                     });
                     let block = left.min(REQUESTS_A_BLOCK);
                     spent += bench.requests(block, Failed::None);
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -5,7 +5,7 @@
 mod write;
 
 use myrtlegauge::decide::{Round, Router};
-use myrtlegauge::interface::{Get, ListKind, Outcome, Purged, Values, span};
+use myrtlegauge::interface::{Get, ListUpdate, Outcome, PurgeKey, Settings, duration_from_ms};
 use read::{Envelope, body};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -54,7 +54,9 @@
         let envelope = Envelope::read(number, text)?;
         match envelope.name.as_str() {
             "BeginBatch" => {
-                now = Some(span(body::<read::Begin>(number, "BeginBatch", envelope.body)?.moment_ms))
+                now = Some(duration_from_ms(
+                    body::<read::Begin>(number, "BeginBatch", envelope.body)?.moment_ms,
+                ))
             }
             "Commit" => {
                 let at = now.take().ok_or_else(|| format!("line {number}: Commit without BeginBatch"))?;
@@ -114,7 +116,7 @@
     Ok(())
 }
 
-fn start(number: usize, facts: &Values, seed: u64) -> Result<Router, String> {
+fn start(number: usize, facts: &Settings, seed: u64) -> Result<Router, String> {
     Router::new(facts, seed).map_err(|fault| format!("line {number}: Init: facts: {fault}"))
 }
 
@@ -139,68 +141,68 @@
         "Call" => {
             let m: read::Call = body(number, name, text)?;
             let ticket = read::ticket(number, name, &m.ticket)?;
-            let place = round.next_place();
-            round.writer().open(ticket, place);
-            round.take(Get {
+            let place = round.next_get_index();
+            round.sink().open(ticket, place);
+            round.on_get(Get {
                 ds: m.lane,
                 object: m.item,
                 part: m.slice,
                 group: m.purge_group,
                 size_kb: m.kbytes,
-                viewer_timeout: span(m.ttl_ms),
-                again: false,
-                over: false,
+                viewer_timeout: duration_from_ms(m.ttl_ms),
+                is_retry: false,
+                in_shed_fraction: false,
             });
         }
         "Response" => {
             let m: read::Response = body(number, name, text)?;
             let ticket = read::ticket(number, name, &m.ticket)?;
-            let Some(place) = round.writer().place(ticket) else { return Ok(()) };
+            let Some(place) = round.sink().place(ticket) else { return Ok(()) };
             let outcome = Outcome {
-                hop: m.hop,
+                attempt: m.hop,
                 end: read::end(m.result)
                     .ok_or_else(|| format!("line {number}: Response: result {}", m.result))?,
-                spent: span(m.spent_ms),
-                closed: m.no_more,
+                elapsed: duration_from_ms(m.spent_ms),
+                is_answered: m.no_more,
                 note: read::note(m.detail)
                     .ok_or_else(|| format!("line {number}: Response: detail {}", m.detail))?,
-                source_wait: span(m.source_wait_ms),
+                source_wait: duration_from_ms(m.source_wait_ms),
                 load: read::load(&m.gauge),
             };
-            round.outcome(place, &outcome);
+            round.on_outcome(place, &outcome);
         }
         "Abandoned" => {
             let m: read::Named = body(number, name, text)?;
             let ticket = read::ticket(number, name, &m.ticket)?;
-            if let Some(place) = round.writer().place(ticket) {
-                round.abandoned(place);
+            if let Some(place) = round.sink().place(ticket) {
+                round.on_abandoned(place);
             }
         }
         "Endpoints" => {
             let m: read::Endpoints = body(number, name, text)?;
             let kind = match &*m.kind {
-                "Partial" => ListKind::Changes,
-                "Complete" => ListKind::Whole,
-                "Persisted" => ListKind::Kept,
-                "Error" => ListKind::Failed,
+                "Partial" => ListUpdate::Changes,
+                "Complete" => ListUpdate::Full,
+                "Persisted" => ListUpdate::Persisted,
+                "Error" => ListUpdate::Failed,
                 other => return Err(format!("line {number}: Endpoints: kind {other:?}")),
             };
             let mut entries = Vec::with_capacity(m.items.len());
             for item in &m.items {
-                let host = round.writer().host(&item.host);
+                let host = round.sink().host(&item.host);
                 entries
                     .push(item.entry(host).ok_or_else(|| {
                         format!("line {number}: Endpoints: lifecycle {:?}", item.lifecycle)
                     })?);
             }
-            round.listed(kind, &entries);
+            round.on_host_list(kind, &entries);
         }
         "ExpiredNow" => {
             let m: read::ExpiredNow = body(number, name, text)?;
-            let named = m.item.map_or(Purged::Group(m.set_no), Purged::Object);
-            round.purged(named, span(m.oldness_ms));
+            let named = m.item.map_or(PurgeKey::Group(m.set_no), PurgeKey::Object);
+            round.on_purge(named, duration_from_ms(m.oldness_ms));
         }
-        "DeadlineHit" => round.woken(),
+        "DeadlineHit" => round.on_wakeup(),
         "Opened" | "Peer" | "Sampled" => {}
         other => return Err(format!("line {number}: unknown message {other}")),
     }
--- a/crates/benchlink/src/read.rs
+++ b/crates/benchlink/src/read.rs
@@ -1,6 +1,8 @@
 //! Messages of the wire as they are read.
 
-use myrtlegauge::interface::{End, Entry, Load, Note, Standing, Start, Values, mark, span};
+use myrtlegauge::interface::{
+    End, HostEntry, HostStatus, LoadReport, Note, Settings, Start, duration_from_ms, hash_host_id,
+};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -46,7 +48,7 @@
 #[derive(Deserialize)]
 pub struct Init {
     pub init_seed: u64,
-    pub facts: Values,
+    pub facts: Settings,
 }
 
 #[derive(Deserialize)]
@@ -120,23 +122,23 @@
 }
 
 impl Item<'_> {
-    pub fn entry(&self, host: usize) -> Option<Entry> {
+    pub fn entry(&self, host: usize) -> Option<HostEntry> {
         let standing = match &*self.lifecycle {
-            "on" => Standing::On,
-            "fading" => Standing::Draining,
-            "off" => Standing::Gone,
+            "on" => HostStatus::Active,
+            "fading" => HostStatus::Draining,
+            "off" => HostStatus::Removed,
             _ => return None,
         };
-        Some(Entry {
+        Some(HostEntry {
             host,
-            mark: mark(&self.host),
-            standing,
-            start: Start::At(span(self.since_ms)),
+            id_hash: hash_host_id(&self.host),
+            status: standing,
+            start: Start::At(duration_from_ms(self.since_ms)),
             zone: self.failure_domain,
             cell: self.stripe,
             kind: self.generation_hw,
-            units: self.units,
-            held_back: 0.0,
+            weight: self.units,
+            withheld_fraction: 0.0,
         })
     }
 }
@@ -149,9 +151,14 @@
     pub set_no: u64,
 }
 
-pub fn load(gauge: &BTreeMap<Cow<'_, str>, f64>) -> Load {
+pub fn load(gauge: &BTreeMap<Cow<'_, str>, f64>) -> LoadReport {
     let told = |name: &str| gauge.get(name).copied();
-    Load { util: told("cpu_share"), in_hand: told("busy_reqs"), link_fill: told("x1"), hit_share: told("x0") }
+    LoadReport {
+        utilization: told("cpu_share"),
+        in_flight: told("busy_reqs"),
+        link_utilization: told("x1"),
+        hit_ratio: told("x0"),
+    }
 }
 
 pub fn end(code: u32) -> Option<End> {
--- a/crates/benchlink/src/write.rs
+++ b/crates/benchlink/src/write.rs
@@ -1,6 +1,6 @@
 //! Decisions of one router as they are written, and the ids that stand behind its indices.
 
-use myrtlegauge::interface::{Dispatch, Forward, HostIndex, Place};
+use myrtlegauge::interface::{DecisionSink, Forward, GetIndex, HostIndex};
 use std::collections::HashMap;
 use std::fmt::Arguments;
 use std::io::Write;
@@ -8,7 +8,7 @@
 
 pub struct Desk {
     pub lines: Lines,
-    places: HashMap<u64, Place>,
+    places: HashMap<u64, GetIndex>,
     hosts: Vec<String>,
     indices: HashMap<String, HostIndex>,
 }
@@ -26,7 +26,7 @@
         line.expect("a vector takes all that is written");
     }
 
-    fn write_get(&mut self, name: &str, get: Place, fields: Arguments<'_>) {
+    fn write_get(&mut self, name: &str, get: GetIndex, fields: Arguments<'_>) {
         let ticket = self.tickets[get];
         self.write(name, format_args!(",\"ticket\":\"{ticket:016x}\"{fields}"));
     }
@@ -42,7 +42,7 @@
         }
     }
 
-    pub fn open(&mut self, ticket: u64, place: Place) {
+    pub fn open(&mut self, ticket: u64, place: GetIndex) {
         let tickets = &mut self.lines.tickets;
         if tickets.len() <= place {
             tickets.resize(place + 1, 0);
@@ -51,7 +51,7 @@
         self.places.insert(ticket, place);
     }
 
-    pub fn place(&self, ticket: u64) -> Option<Place> {
+    pub fn place(&self, ticket: u64) -> Option<GetIndex> {
         self.places.get(&ticket).copied()
     }
 
@@ -74,11 +74,11 @@
     span.as_secs_f64() * 1e3
 }
 
-impl Dispatch for Desk {
-    fn forward(&mut self, get: Place, f: &Forward) {
+impl DecisionSink for Desk {
+    fn forward(&mut self, get: GetIndex, f: &Forward) {
         let (host, source) = (&self.hosts[f.host], &self.hosts[f.source]);
-        let manner = u8::from(f.join) | u8::from(f.held_only) << 1 | u8::from(f.renew) << 3;
-        let (timeout, age, rank) = (ms(f.timeout), ms(f.accepted_age), f.keep);
+        let manner = u8::from(f.join_fill) | u8::from(f.only_if_cached) << 1 | u8::from(f.renew) << 3;
+        let (timeout, age, rank) = (ms(f.timeout), ms(f.accepted_age), f.retention_rank);
         self.lines.write_get(
             "Obtain",
             get,
@@ -89,30 +89,30 @@
         );
     }
 
-    fn withdraw(&mut self, get: Place, hop: u32) {
+    fn withdraw(&mut self, get: GetIndex, hop: u32) {
         self.lines.write_get("StopAttempt", get, format_args!(",\"hop\":{hop}"));
     }
 
-    fn shed(&mut self, get: Place, retry_after: Option<Duration>) {
+    fn shed(&mut self, get: GetIndex, retry_after: Option<Duration>) {
         match retry_after {
             Some(wait) => self.lines.write_get("PushBack", get, format_args!(",\"backoff_ms\":{}", ms(wait))),
             None => self.lines.write_get("PushBack", get, format_args!("")),
         }
     }
 
-    fn error(&mut self, get: Place) {
+    fn error(&mut self, get: GetIndex) {
         self.lines.write_get("Lose", get, format_args!(""));
     }
 
-    fn settled(&mut self, get: Place) {
+    fn release(&mut self, get: GetIndex) {
         self.places.remove(&self.lines.tickets[get]);
     }
 
-    fn wake(&mut self, after: Duration) {
+    fn schedule_wakeup(&mut self, after: Duration) {
         self.lines.write("Timer", format_args!(",\"from_now_ms\":{},\"label\":\"wake\"", ms(after)));
     }
 
-    fn follow_list(&mut self) {
+    fn subscribe_host_list(&mut self) {
         self.lines.write("Tail", format_args!(",\"on\":true"));
     }
 
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -7,10 +7,10 @@
 use crate::shelf::{Kind, Resource, Version};
 use myrtlegauge::decide::Router;
 use myrtlegauge::interface::{
-    Dispatch, Entry, Forward, HostIndex, ListKind, Place, Purged, Standing, Values,
+    DecisionSink, Forward, GetIndex, HostEntry, HostIndex, HostStatus, ListUpdate, PurgeKey, Settings,
 };
-use myrtlegauge::reading::{Reading, Share};
-use myrtlegauge::values::{self, flag, list, number};
+use myrtlegauge::settings::{self, flag, list, number};
+use myrtlegauge::snapshot::{HostShare, RoutingSnapshot};
 use myrtlegauge_wire::clock::Clock;
 use myrtlegauge_wire::places::Places;
 use myrtlegauge_wire::protocol::changelog::{Endpoint, Purge};
@@ -34,7 +34,7 @@
 struct Known {
     name: String,
     address: Option<SocketAddr>,
-    entry: Entry,
+    entry: HostEntry,
     /// When its life began, Unix milliseconds; never goes back, whatever later lines leave out or contradict. One that
     /// is on again after it was not has begun another, whether or not the list says so.
     life: u64,
@@ -49,16 +49,16 @@
     rings: Option<Duration>,
 }
 
-impl Dispatch for Bell {
-    fn forward(&mut self, _: Place, _: &Forward) {}
-    fn withdraw(&mut self, _: Place, _: u32) {}
-    fn shed(&mut self, _: Place, _: Option<Duration>) {}
-    fn error(&mut self, _: Place) {}
-    fn settled(&mut self, _: Place) {}
-    fn wake(&mut self, after: Duration) {
+impl DecisionSink for Bell {
+    fn forward(&mut self, _: GetIndex, _: &Forward) {}
+    fn withdraw(&mut self, _: GetIndex, _: u32) {}
+    fn shed(&mut self, _: GetIndex, _: Option<Duration>) {}
+    fn error(&mut self, _: GetIndex) {}
+    fn release(&mut self, _: GetIndex) {}
+    fn schedule_wakeup(&mut self, after: Duration) {
         self.rings = Some(after);
     }
-    fn follow_list(&mut self) {}
+    fn subscribe_host_list(&mut self) {}
     fn log(&mut self, line: std::fmt::Arguments<'_>) {
         log::info!("{line}");
     }
@@ -80,7 +80,7 @@
     hosts: Vec<Known>,
     by_address: HashMap<SocketAddr, HostIndex>,
     /// By what it names, when it was purged, Unix milliseconds.
-    purges: BTreeMap<Purged, u64>,
+    purges: BTreeMap<PurgeKey, u64>,
     services: Vec<Service>,
     parent_kind: Option<usize>,
     origin_kind: usize,
@@ -98,11 +98,11 @@
 }
 
 impl Fleet {
-    pub fn new(facts: &Values, seed: u64, clock: Clock) -> Result<Self, String> {
+    pub fn new(facts: &Settings, seed: u64, clock: Clock) -> Result<Self, String> {
         let services = list(facts, "classes")?.iter().enumerate().map(|(ds, class)| {
             let name =
                 class.get("name").and_then(|name| name.as_str()).ok_or("a delivery service has no name")?;
-            let timeout = values::span(facts, &format!("classes.{ds}.deadline_ms"))?;
+            let timeout = settings::duration(facts, &format!("classes.{ds}.deadline_ms"))?;
             Ok(Service {
                 name: name.to_owned(),
                 passed_on: flag(facts, &format!("domain.pass_on.{ds}")),
@@ -111,7 +111,7 @@
         });
         let services = services.collect::<Result<Vec<_>, String>>()?;
         let zones = list(facts, "zones")?.len();
-        let serves = values::served(facts)?;
+        let serves = settings::served_zones(facts)?;
         let kind =
             |name: &str| number(facts, name).ok().filter(|&kind| kind >= 0.0).map(|kind| kind as usize);
         Ok(Self {
@@ -129,7 +129,7 @@
             origin_kind: kind("domain.master_kind").ok_or("setting domain.master_kind is missing")?,
             held_back: vec![0.0; zones],
             serves: (0..zones).map(|zone| serves.contains(&zone)).collect(),
-            purged_within: values::span(facts, "domain.gone_everywhere_ms")?,
+            purged_within: settings::duration(facts, "domain.gone_everywhere_ms")?,
             routed: false,
             lags: [false; 3],
             assigned_at: [Duration::ZERO; 3],
@@ -150,7 +150,7 @@
     }
 
     /// The list as the module was told it.
-    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &HostEntry> {
         self.hosts.iter().filter(|host| !host.name.is_empty()).map(|host| &host.entry)
     }
 
@@ -184,7 +184,7 @@
             let told: std::collections::BTreeSet<&str> = lines.iter().map(|line| &*line.name).collect();
             for host in &mut self.hosts {
                 if host.gone_at.is_none() && !told.contains(host.name.as_str()) {
-                    host.entry.standing = Standing::Gone;
+                    host.entry.status = HostStatus::Removed;
                     host.gone_at = Some(now);
                 }
             }
@@ -192,7 +192,7 @@
         for line in lines {
             let (index, new) = self.places.host(&line.name);
             if new {
-                let entry = Entry { host: index, units: 1.0, ..Entry::default() };
+                let entry = HostEntry { host: index, weight: 1.0, ..HostEntry::default() };
                 let known = Known {
                     name: line.name.to_string(),
                     address: None,
@@ -223,15 +223,16 @@
                 self.by_address.remove(&left);
             }
             host.address = address.or(host.address);
-            let (began, was) = (entry.start.stamp(), host.entry.standing);
-            let again = !new && was != Standing::On && entry.standing == Standing::On && began <= host.life;
+            let (began, was) = (entry.start.claimed_unix_ms(), host.entry.status);
+            let again =
+                !new && was != HostStatus::Active && entry.status == HostStatus::Active && began <= host.life;
             host.life = if again { self.clock.unix_ms(now) } else { began.max(host.life) };
             host.entry = entry;
-            host.gone_at = host.gone_at.or(Some(now)).filter(|_| entry.standing == Standing::Gone);
+            host.gone_at = host.gone_at.or(Some(now)).filter(|_| entry.status == HostStatus::Removed);
             entries.push(self.held(entry));
         }
         self.told(now, |round| {
-            round.listed(if whole { ListKind::Whole } else { ListKind::Changes }, &entries);
+            round.on_host_list(if whole { ListUpdate::Full } else { ListUpdate::Changes }, &entries);
         });
     }
 
@@ -247,12 +248,12 @@
         }
         let known = self.hosts.iter().filter(|host| !host.name.is_empty() && host.gone_at.is_none());
         let entries: Vec<_> = known.map(|host| self.held(host.entry)).collect();
-        self.told(now, |round| round.listed(ListKind::Changes, &entries));
+        self.told(now, |round| round.on_host_list(ListUpdate::Changes, &entries));
     }
 
     /// A host's entry as the module is told it.
-    fn held(&self, entry: Entry) -> Entry {
-        Entry { held_back: self.held_back[entry.zone], ..entry }
+    fn held(&self, entry: HostEntry) -> HostEntry {
+        HostEntry { withheld_fraction: self.held_back[entry.zone], ..entry }
     }
 
     /// Where a host stands, by the footprint's number.
@@ -270,7 +271,7 @@
     /// Takes a purge; one that names nothing, or whose time is no time, is counted and says nothing.
     pub fn purged(&mut self, purge: &Purge<'_>, now: Duration) {
         let object = purge.object.as_deref().and_then(|id| u64::from_str_radix(id, 16).ok());
-        let named = object.map(Purged::Object).or(purge.bucket.map(Purged::Group));
+        let named = object.map(PurgeKey::Object).or(purge.bucket.map(PurgeKey::Group));
         let Some(named) = named.filter(|_| purge.unix_ms.is_finite() && purge.unix_ms >= 0.0) else {
             self.faults += 1;
             return log::warn!("a purge names neither an object nor a group, or no time");
@@ -282,17 +283,17 @@
             let oldest = self.purges.iter().min_by_key(|(_, at)| **at).map(|(named, _)| *named);
             oldest.map(|named| self.purges.remove(&named));
         }
-        self.told(now, |round| round.purged(named, Duration::ZERO));
+        self.told(now, |round| round.on_purge(named, Duration::ZERO));
     }
 
     /// What proxies saw in an interval.
     pub fn reported(&mut self, summary: &Summary, now: Duration) {
         self.told(now, |round| {
             for &(host, success) in &summary.outcomes {
-                round.reported(host, success);
+                round.on_host_report(host, success);
             }
             for &(source, ds, all, bad, out) in &summary.fills {
-                round.filled(ds, source, all, bad, out);
+                round.on_fill_report(ds, source, all, bad, out);
             }
         });
     }
@@ -300,7 +301,7 @@
     /// The module's wake-up, where it is due; and hosts long gone give their index back.
     pub fn tend(&mut self, now: Duration) {
         if now >= self.wakes {
-            self.told(now, |round| round.woken());
+            self.told(now, |round| round.on_wakeup());
         }
         for index in 0..self.hosts.len() {
             let host = &mut self.hosts[index];
@@ -316,7 +317,7 @@
         }
     }
 
-    fn tier(&self, entry: &Entry) -> Option<Tier> {
+    fn tier(&self, entry: &HostEntry) -> Option<Tier> {
         if Some(entry.kind) == self.parent_kind {
             Some(Tier::Parents)
         } else if entry.kind == self.origin_kind {
@@ -328,8 +329,8 @@
 
     /// Publishes what differs from what was published last. `proxies`: how many share the bounds on fills.
     pub fn publish(&mut self, exchange: &mut Exchange, proxies: usize, now: Duration, unix_ms: u64) {
-        let reading = self.router.reading(now);
-        let mut shares: Vec<Option<Share>> = vec![None; self.hosts.len()];
+        let reading = self.router.routing_snapshot(now);
+        let mut shares: Vec<Option<HostShare>> = vec![None; self.hosts.len()];
         for share in reading.caches.iter().chain(&reading.parents).chain(&reading.origin) {
             shares[share.host] = Some(*share);
         }
@@ -372,24 +373,24 @@
         self.publish_rest(exchange, &reading, changed, ended, unix_ms);
     }
 
-    fn line(&self, index: HostIndex, share: Option<Share>, proxies: usize) -> Option<HostLine> {
+    fn line(&self, index: HostIndex, share: Option<HostShare>, proxies: usize) -> Option<HostLine> {
         let host = &self.hosts[index];
         let (entry, address) = (&host.entry, host.address?);
-        let tier = self.tier(entry).filter(|_| entry.standing != Standing::Gone)?;
+        let tier = self.tier(entry).filter(|_| entry.status != HostStatus::Removed)?;
         // One that drains keeps its points, so that proxies need not lay their rings anew at once.
-        let kept = host.line.as_ref().filter(|_| entry.standing == Standing::Draining);
+        let kept = host.line.as_ref().filter(|_| entry.status == HostStatus::Draining);
         let points = share.map(|share| share.points).or(kept.map(|line| line.points));
-        let near = share.map(|share| share.near).or(kept.map(|line| line.near));
-        let fills = share.map_or(1.0, |share| (share.fills / proxies.max(1) as f64).ceil().max(1.0));
+        let near = share.map(|share| share.is_near).or(kept.map(|line| line.near));
+        let fills = share.map_or(1.0, |share| (share.max_fills / proxies.max(1) as f64).ceil().max(1.0));
         Some(HostLine {
             name: host.name.clone(),
             address,
             tier,
             life: host.life,
-            draining: entry.standing == Standing::Draining,
-            mark: entry.mark,
+            draining: entry.status == HostStatus::Draining,
+            mark: entry.id_hash,
             points: points.unwrap_or(0),
-            part: share.map_or(0.0, |share| share.part),
+            part: share.map_or(0.0, |share| share.key_fraction),
             near: near.unwrap_or(true),
             fills: fills as u32,
         })
@@ -398,7 +399,7 @@
     fn publish_rest(
         &mut self,
         exchange: &mut Exchange,
-        reading: &Reading,
+        reading: &RoutingSnapshot,
         changed: [bool; 3],
         ended: [bool; 3],
         unix_ms: u64,
@@ -421,9 +422,9 @@
             exchange.put(Kind::Assignment, BY_HOST, Some(resource(0, 0, BY_HOST, body, true)), false);
             let lines = self.services.iter().zip(&reading.terms).map(|(service, terms)| RouteLine {
                 service: &service.name,
-                again: terms.again,
+                again: terms.is_repeatable,
                 timeout: service.timeout,
-                forwards: reading.forwards,
+                forwards: reading.max_forwards,
             });
             let lines: Vec<_> = lines.collect();
             let said: String = lines
@@ -437,10 +438,10 @@
             let line = TermsLine {
                 accepted_age: terms.accepted_age,
                 renew: terms.renew,
-                again: terms.again,
+                again: terms.is_repeatable,
                 passed_on: service.passed_on,
-                spared: reading.spared,
-                forwards: reading.forwards,
+                spared: reading.is_origin_spared,
+                forwards: reading.max_forwards,
                 timeout: service.timeout,
             };
             if self.terms[ds] != Some(line) {
@@ -485,19 +486,19 @@
     }
 }
 
-pub fn purge_name(named: Purged) -> String {
+pub fn purge_name(named: PurgeKey) -> String {
     match named {
-        Purged::Object(object) => format!("purge/object/{object:016x}"),
-        Purged::Group(group) => format!("purge/group/{group}"),
+        PurgeKey::Object(object) => format!("purge/object/{object:016x}"),
+        PurgeKey::Group(group) => format!("purge/group/{group}"),
     }
 }
 
 /// What a purge's resource name names.
-pub fn purge_named(name: &str) -> Option<Purged> {
+pub fn purge_named(name: &str) -> Option<PurgeKey> {
     let rest = name.strip_prefix("purge/")?;
     let object = rest.strip_prefix("object/").and_then(|id| u64::from_str_radix(id, 16).ok());
     let group = rest.strip_prefix("group/").and_then(|id| id.parse().ok());
-    object.map(Purged::Object).or(group.map(Purged::Group))
+    object.map(PurgeKey::Object).or(group.map(PurgeKey::Group))
 }
 
 fn resource(life: u64, step: u64, said: &str, body: Vec<u8>, leased: bool) -> Resource {
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -9,8 +9,8 @@
 use crate::messages::{self, BY_HOST, HostLine, PurgeLine, ROUTES, TIERS, TermsLine, Tier};
 use crate::shelf::Kind;
 use envoy_types::pb::envoy::config::endpoint::v3::{ClusterLoadAssignment, LbEndpoint};
-use myrtlegauge::interface::Purged;
-use myrtlegauge::reading::{self, Map, Share};
+use myrtlegauge::interface::PurgeKey;
+use myrtlegauge::snapshot::{self, HostShare, RoutingTable};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -65,11 +65,11 @@
     hosts: BTreeMap<String, Told>,
     /// Hosts taken away, with the life that ended and when.
     gone: BTreeMap<String, (u64, u64)>,
-    purges: BTreeMap<Purged, PurgeLine>,
+    purges: BTreeMap<PurgeKey, PurgeLine>,
     terms: BTreeMap<String, TermsLine>,
     lease_until_ms: u64,
     /// Laid from the above where that has changed.
-    map: Map,
+    map: RoutingTable,
     lines: Vec<HostLine>,
     stale: bool,
 }
@@ -198,7 +198,7 @@
         self.hosts.len()
     }
 
-    pub fn purged(&self, named: Purged) -> Option<PurgeLine> {
+    pub fn purged(&self, named: PurgeKey) -> Option<PurgeLine> {
         self.purges.get(&named).copied()
     }
 
@@ -207,23 +207,23 @@
             return;
         }
         self.lines = self.hosts.values().map(|told| told.line.clone()).collect();
-        let shares = |tier: Tier| -> Vec<Share> {
+        let shares = |tier: Tier| -> Vec<HostShare> {
             let lines = self.lines.iter().enumerate().filter(|(_, line)| line.tier == tier);
             lines
-                .map(|(host, line)| Share {
+                .map(|(host, line)| HostShare {
                     host,
-                    mark: line.mark,
+                    id_hash: line.mark,
                     points: line.points,
-                    part: line.part,
-                    near: line.near,
-                    fills: line.fills.into(),
+                    key_fraction: line.part,
+                    is_near: line.near,
+                    max_fills: line.fills.into(),
                 })
                 .collect()
         };
         for (tier, laid) in [(Tier::Caches, &mut self.map.caches), (Tier::Parents, &mut self.map.parents)] {
             let shares = shares(tier);
-            if !laid.take_parts(&shares) {
-                *laid = myrtlegauge::reading::Tier::lay(shares);
+            if !laid.update_fractions(&shares) {
+                *laid = myrtlegauge::snapshot::Tier::build(shares);
             }
         }
         self.map.origin = shares(Tier::Origin).into_iter().find(|share| !self.lines[share.host].draining);
@@ -243,22 +243,23 @@
         }
         self.settle();
         let terms = self.terms.get(asked.service).ok_or(Shed::UnknownService)?;
-        self.map.spared = terms.spared;
-        let key = reading::key(asked.object, asked.part);
+        self.map.is_origin_spared = terms.spared;
+        let key = snapshot::ring_key(asked.object, asked.part);
         let index = |name: &str| self.lines.iter().position(|line| line.name == name);
         let [tried_cache, tried_source] = tried.map(|name| name.and_then(index));
         let cache = self.map.cache(key, tried_cache).ok_or(Shed::NoHost)?.host;
-        let room = |share: &Share| f64::from(out(&self.lines[share.host].name)) < share.fills;
+        let room = |share: &HostShare| f64::from(out(&self.lines[share.host].name)) < share.max_fills;
         let source = if terms.passed_on {
             self.map.origin.map(|origin| (origin.host, false))
         } else {
             self.map.source(key, tried_source, room)
         };
-        let named = [Purged::Object(asked.object), Purged::Group(asked.group)];
+        let named = [PurgeKey::Object(asked.object), PurgeKey::Group(asked.group)];
         let purged =
             named.iter().filter_map(|named| self.purges.get(named)).map(|purge| purge.at_unix_ms).max();
         let purged = purged.map(Duration::from_millis);
-        let oldest = reading::oldest(terms.accepted_age, purged, Duration::from_millis(now_ms), TICK);
+        let oldest =
+            snapshot::max_accepted_age(terms.accepted_age, purged, Duration::from_millis(now_ms), TICK);
         Ok(Choice {
             cache: &self.lines[cache],
             source: source.map(|(host, _)| &self.lines[host]),
--- a/crates/control/tests/decisions.rs
+++ b/crates/control/tests/decisions.rs
@@ -21,16 +21,16 @@
 #[derive(Default)]
 struct First(Option<Forward>);
 
-impl Dispatch for First {
-    fn forward(&mut self, _: Place, forward: &Forward) {
+impl DecisionSink for First {
+    fn forward(&mut self, _: GetIndex, forward: &Forward) {
         self.0.get_or_insert(*forward);
     }
-    fn withdraw(&mut self, _: Place, _: u32) {}
-    fn shed(&mut self, _: Place, _: Option<Duration>) {}
-    fn error(&mut self, _: Place) {}
-    fn settled(&mut self, _: Place) {}
-    fn wake(&mut self, _: Duration) {}
-    fn follow_list(&mut self) {}
+    fn withdraw(&mut self, _: GetIndex, _: u32) {}
+    fn shed(&mut self, _: GetIndex, _: Option<Duration>) {}
+    fn error(&mut self, _: GetIndex) {}
+    fn release(&mut self, _: GetIndex) {}
+    fn schedule_wakeup(&mut self, _: Duration) {}
+    fn subscribe_host_list(&mut self) {}
     fn log(&mut self, _: std::fmt::Arguments<'_>) {}
 }
 
@@ -46,26 +46,27 @@
     fn follow(&mut self, world: &World) {
         self.now = world.now;
         let entries: Vec<_> = world.fleet.entries().copied().collect();
-        self.router.round(self.now, &mut First::default(), |round| round.listed(ListKind::Whole, &entries));
+        self.router
+            .round(self.now, &mut First::default(), |round| round.on_host_list(ListUpdate::Full, &entries));
     }
 
     fn choice(&mut self, object: u64) -> Option<Forward> {
         let mut first = First::default();
         let get = Get { ds: 1, object, group: object % 256, viewer_timeout: ms(5000), ..Get::default() };
         let withdrawn = Outcome {
-            hop: 0,
+            attempt: 0,
             end: End::Withdrawn,
-            spent: ms(0),
-            closed: true,
+            elapsed: ms(0),
+            is_answered: true,
             note: Note::Untold,
             source_wait: ms(0),
-            load: Load::default(),
+            load: LoadReport::default(),
         };
         self.router.round(self.now, &mut first, |round| {
-            let place = round.next_place();
-            round.take(get);
-            round.abandoned(place);
-            round.outcome(place, &withdrawn);
+            let place = round.next_get_index();
+            round.on_get(get);
+            round.on_abandoned(place);
+            round.on_outcome(place, &withdrawn);
         });
         first.0
     }
@@ -81,7 +82,7 @@
     for object in 0..KEYS {
         let by_module = twin.choice(object).expect("the module sends it");
         let name = |host| world.fleet.host_name(host).to_owned();
-        let expected = (name(by_module.host), Some(name(by_module.source)), by_module.held_only);
+        let expected = (name(by_module.host), Some(name(by_module.source)), by_module.only_if_cached);
         for proxy in &mut *proxies {
             let (cache, source, held, oldest) = proxy.choice(object, world.unix_ms()).expect("it goes");
             assert_eq!((&cache, &source, held), (&expected.0, &expected.1, expected.2), "object {object}");
@@ -121,7 +122,7 @@
     for _ in 0..4 {
         let failed = Summary { outcomes: vec![(2, false)], fills: Vec::new() };
         world.fleet.reported(&failed, world.now);
-        twin.router.round(world.now, &mut First::default(), |round| round.reported(2, false));
+        twin.router.round(world.now, &mut First::default(), |round| round.on_host_report(2, false));
     }
     world.publish();
     step("cache-2 fails", &mut world, &mut twin);
--- a/crates/dispatcher/src/program/start.rs
+++ b/crates/dispatcher/src/program/start.rs
@@ -1,7 +1,7 @@
 //! What the program is told at its start, and what of it may change later.
 
 use crate::routing::{Guards, Room, Startup};
-use myrtlegauge::interface::Values;
+use myrtlegauge::interface::Settings;
 use myrtlegauge_wire::protocol::changelog::Changes;
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -22,7 +22,7 @@
     limits: Limits,
     #[serde(borrow)]
     known: &'a serde_json::value::RawValue,
-    settings: Values,
+    settings: Settings,
 }
 
 #[derive(Deserialize, PartialEq)]
--- a/crates/dispatcher/src/routing/answers.rs
+++ b/crates/dispatcher/src/routing/answers.rs
@@ -7,7 +7,7 @@
 use super::proxy::{Asked, Proxy};
 use super::{Key, Who};
 use bytes::Bytes;
-use myrtlegauge::interface::{Get, Place};
+use myrtlegauge::interface::{Get, GetIndex};
 use myrtlegauge_wire::protocol::fastcgi::{self, Message, Request};
 use myrtlegauge_wire::protocol::{Fault, resp};
 use std::time::Duration;
@@ -105,12 +105,12 @@
     }
 
     /// Takes a request, if it is a GET that can be used; anything else is answered here.
-    pub fn take(&mut self, key: Key, place: Place, mut request: Request) -> Option<Get> {
+    pub fn take(&mut self, key: Key, place: GetIndex, mut request: Request) -> Option<Get> {
         request.held = codec::bare(&request.held);
         let (number, long) = (request.number, request.long);
         let (mut get, id) = (self.codec.get(&request), codec::hex(&request.id).unwrap_or_default());
         if let (Some(get), Some(zones)) = (&mut get, &self.zones) {
-            get.over = zones.is_over(myrtlegauge::reading::key(get.object, get.part));
+            get.in_shed_fraction = zones.is_over(myrtlegauge::snapshot::ring_key(get.object, get.part));
         }
         // Two GETs under one id would take each other's answers at a host.
         let twice = get.is_some() && self.in_flight.holds(id);
@@ -136,7 +136,7 @@
         get.viewer_timeout = get.viewer_timeout.min(most);
         self.counters.taken += 1;
         self.startup.request_taken(self.now);
-        self.counters.retries += u64::from(get.again);
+        self.counters.retries += u64::from(get.is_retry);
         let open = &mut self.clients.get_mut(key)?.open;
         open.iter_mut().filter(|(open, _)| *open == number).for_each(|(_, owed)| owed.place = Some(place));
         let until = self.now + get.viewer_timeout;
@@ -159,8 +159,8 @@
     }
 
     /// Pays what is owed for a GET; false if it was answered or abandoned before.
-    pub fn pay(&mut self, place: Place, answer: &Answer) -> bool {
-        let retry = self.in_flight.at(place).get.again;
+    pub fn pay(&mut self, place: GetIndex, answer: &Answer) -> bool {
+        let retry = self.in_flight.at(place).get.is_retry;
         let Some((key, number)) = self.in_flight.settle(place) else { return false };
         if let Some(client) = self.clients.get_mut(key) {
             client.close(number);
@@ -192,7 +192,7 @@
     }
 
     /// One line, by the request's id, on a GET that was not returned: what it was, how far it got, how it ended.
-    fn log_end(&mut self, place: Place, answer: &Answer) {
+    fn log_end(&mut self, place: GetIndex, answer: &Answer) {
         let Some(unsaid) = self.may_log_end() else { return };
         let pending = self.in_flight.at(place);
         let (id, class, hops) = (String::from_utf8_lossy(&pending.request.id), pending.get.ds, pending.hops);
@@ -217,7 +217,7 @@
             "not returned");
     }
 
-    fn abandon(&mut self, place: Place) {
+    fn abandon(&mut self, place: GetIndex) {
         if self.in_flight.settle(place).is_some() {
             self.counters.abandoned += 1;
             self.abandoned.push_back(place);
@@ -263,7 +263,7 @@
 
     /// The answer that a host's answer makes; none where it can't be one. A client's copy is called current only where its
     /// tag went with the forward and the host names that tag.
-    pub fn returned(&mut self, place: Place, names_copy: bool, answer: resp::Answer) -> Option<Answer> {
+    pub fn returned(&mut self, place: GetIndex, names_copy: bool, answer: resp::Answer) -> Option<Answer> {
         if &answer.word[..] != b"304" {
             return Some(Answer::Returned(answer.body));
         }
--- a/crates/dispatcher/src/routing/clients.rs
+++ b/crates/dispatcher/src/routing/clients.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use bytes::Bytes;
-use myrtlegauge::interface::Place;
+use myrtlegauge::interface::GetIndex;
 use myrtlegauge_wire::protocol::Fault;
 use myrtlegauge_wire::protocol::fastcgi::{Message, Reader};
 use myrtlegauge_wire::transport::{Connection, Gauge};
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy)]
 pub struct Owed {
     /// The GET it is; none until the module has taken it.
-    pub place: Option<Place>,
+    pub place: Option<GetIndex>,
     /// Bytes that it holds.
     pub long: usize,
 }
--- a/crates/dispatcher/src/routing/codec.rs
+++ b/crates/dispatcher/src/routing/codec.rs
@@ -1,8 +1,8 @@
 //! What messages of clients and hosts say, as the module takes it: names become small indices here, words its types.
 
 use bytes::Bytes;
-use myrtlegauge::interface::{End, Get, Load, Note, Values, span};
-use myrtlegauge::values::flag;
+use myrtlegauge::interface::{End, Get, LoadReport, Note, Settings, duration_from_ms};
+use myrtlegauge::settings::flag;
 use myrtlegauge_wire::protocol::fastcgi::Request;
 use myrtlegauge_wire::protocol::resp::Answer;
 
@@ -13,7 +13,7 @@
 }
 
 impl Codec {
-    pub fn new(told: &Values) -> Result<Self, String> {
+    pub fn new(told: &Settings) -> Result<Self, String> {
         let listed =
             told.get("classes").and_then(|v| v.as_array()).ok_or("setting classes is missing or no list")?;
         let service = |v: &serde_json::Value| {
@@ -46,9 +46,9 @@
             part: u32::try_from(or_none(digits, &request.part)?).ok()?,
             group: or_none(digits, &request.group).filter(|&group| group <= GROUP_MOST)?,
             size_kb: 0.0,
-            viewer_timeout: span(budget),
-            again: Self::is_retry(request),
-            over: false,
+            viewer_timeout: duration_from_ms(budget),
+            is_retry: Self::is_retry(request),
+            in_shed_fraction: false,
         })
     }
 
@@ -130,16 +130,16 @@
 }
 
 /// The load report of an answer, by the settings' names or the page's.
-pub fn load(answer: &Answer) -> Load {
-    let mut load = Load::default();
+pub fn load(answer: &Answer) -> LoadReport {
+    let mut load = LoadReport::default();
     for pair in answer.field("rep").unwrap_or_default().split(|&b| b == b';') {
         let Some(colon) = pair.iter().position(|&b| b == b':') else { continue };
         let value = number(&pair[colon + 1..]);
         match &pair[..colon] {
-            b"util" | b"cpu_share" => load.util = value,
-            b"inflight" | b"busy_reqs" => load.in_hand = value,
-            b"x0" => load.hit_share = value,
-            b"x1" => load.link_fill = value,
+            b"util" | b"cpu_share" => load.utilization = value,
+            b"inflight" | b"busy_reqs" => load.in_flight = value,
+            b"x0" => load.hit_ratio = value,
+            b"x1" => load.link_utilization = value,
             _ => {}
         }
     }
--- a/crates/dispatcher/src/routing/forwards.rs
+++ b/crates/dispatcher/src/routing/forwards.rs
@@ -7,7 +7,9 @@
 use super::proxy::{Due, Proxy};
 use super::{Key, Who};
 use myrtlegauge::host_life::EndEvidence;
-use myrtlegauge::interface::{Dispatch, End, Forward, HostIndex, Load, Note, Outcome, Place, span};
+use myrtlegauge::interface::{
+    DecisionSink, End, Forward, GetIndex, HostIndex, LoadReport, Note, Outcome, duration_from_ms,
+};
 use myrtlegauge_wire::protocol::{Fault, resp};
 use myrtlegauge_wire::transport::Connection;
 use std::cmp::Reverse;
@@ -21,8 +23,8 @@
 /// was lost, and a way there and back more. GETs wait no longer for it than the settings tell.
 const DIAL_MOST: Duration = Duration::from_millis(2000);
 
-impl Dispatch for Proxy {
-    fn forward(&mut self, place: Place, f: &Forward) {
+impl DecisionSink for Proxy {
+    fn forward(&mut self, place: GetIndex, f: &Forward) {
         let (now, most) = (self.now, self.limits.forwards);
         let pending = self.in_flight.at(place);
         let (fit, hop) = (pending.owed.is_some() && pending.out.is_none(), pending.hops);
@@ -50,8 +52,8 @@
         self.from_origin +=
             u32::from(kind(f.source) == self.limits.origin_kind || kind(f.host) == self.limits.origin_kind);
         self.dues.push(Reverse((until, Due::Forward(place, serial))));
-        if !f.begin_by.is_zero() {
-            self.dues.push(Reverse((f.begin_by, Due::Begin(place, serial))));
+        if !f.start_deadline.is_zero() {
+            self.dues.push(Reverse((f.start_deadline, Due::Begin(place, serial))));
         }
         match link {
             Ok(key) => {
@@ -66,14 +68,14 @@
         }
     }
 
-    fn withdraw(&mut self, place: Place, hop: u32) {
+    fn withdraw(&mut self, place: GetIndex, hop: u32) {
         let Some(out) = self.in_flight.at(place).out.filter(|out| out.hop == hop) else { return };
         self.counters.withdrawn += 1;
         let end = if self.give_up(place, &out) { End::Withdrawn } else { End::NeverSent };
         self.ended.push_back((place, out.serial, end));
     }
 
-    fn shed(&mut self, place: Place, retry_after: Option<Duration>) {
+    fn shed(&mut self, place: GetIndex, retry_after: Option<Duration>) {
         if !self.may_reject(place) {
             return self.error(place);
         }
@@ -82,12 +84,12 @@
         self.counters.must(paid, "one answer for each GET");
     }
 
-    fn error(&mut self, place: Place) {
+    fn error(&mut self, place: GetIndex) {
         let paid = self.pay(place, &Answer::Errored);
         self.counters.must(paid, "one answer for each GET");
     }
 
-    fn settled(&mut self, place: Place) {
+    fn release(&mut self, place: GetIndex) {
         let pending = self.in_flight.at(place);
         let clear = pending.owed.is_none() && pending.out.is_none();
         self.counters.must(clear, "a GET that is over has no forward out and its answer");
@@ -95,11 +97,11 @@
         self.in_flight.clear(place);
     }
 
-    fn wake(&mut self, after: Duration) {
+    fn schedule_wakeup(&mut self, after: Duration) {
         self.wake_in(after);
     }
 
-    fn follow_list(&mut self) {}
+    fn subscribe_host_list(&mut self) {}
 
     fn log(&mut self, line: Arguments<'_>) {
         log::info!("{line}");
@@ -113,7 +115,7 @@
     ///
     /// A GET that comes again takes no connection on which it was answered before: a second answer that comes late there
     /// would be taken for the end of a forward that is still out.
-    fn link_to(&mut self, host: HostIndex, place: Place) -> Result<Key, End> {
+    fn link_to(&mut self, host: HostIndex, place: GetIndex) -> Result<Key, End> {
         let before = &self.in_flight.peek(place).answered_on;
         let (links, streams, own) = (&self.links, self.limits.streams, &self.hosts[host].links);
         let open = own.iter().copied().filter(|&key| links[key].takes(streams) && !before.contains(&key));
@@ -162,7 +164,7 @@
     }
 
     /// Writes a forward as its host reads it; what the client sent goes on as it came.
-    fn write_forward(&mut self, key: Key, place: Place) {
+    fn write_forward(&mut self, key: Key, place: GetIndex) {
         if !self.may_write(key, place) {
             return;
         }
@@ -184,14 +186,14 @@
         if to.source != to.host {
             put(text, ",up=", &hosts[to.source].name);
         }
-        if to.keep > 0 {
-            put_number(text, ",store=", u128::from(to.keep));
+        if to.retention_rank > 0 {
+            put_number(text, ",store=", u128::from(to.retention_rank));
         }
         if !to.accepted_age.is_zero() {
             // Zero would mean the fresh time, so that a limit is never rounded to it.
             put_number(text, ",cap=", to.accepted_age.as_millis().max(1));
         }
-        let words = [(to.join, "join"), (to.held_only, "held"), (to.renew, "renew")];
+        let words = [(to.join_fill, "join"), (to.only_if_cached, "held"), (to.renew, "renew")];
         let mut before = ",do=";
         for (_, word) in words.iter().filter(|(said, _)| *said) {
             put(text, before, word.as_bytes());
@@ -292,7 +294,7 @@
     }
 
     /// A forward that may not begin after now: one of which nothing has gone out is taken back.
-    pub fn too_late_to_begin(&mut self, place: Place, serial: u64) {
+    pub fn too_late_to_begin(&mut self, place: GetIndex, serial: u64) {
         let out = self.in_flight.at(place).out.filter(|out| out.serial == serial && out.link.is_some());
         let Some(out) = out else { return };
         if self.take_back(&out) {
@@ -308,7 +310,7 @@
     }
 
     /// A forward's time is up.
-    pub fn overdue(&mut self, place: Place, serial: u64) {
+    pub fn overdue(&mut self, place: GetIndex, serial: u64) {
         let out = self.in_flight.at(place).out.filter(|out| out.serial == serial && out.link.is_some());
         let Some(out) = out else { return };
         let end = if self.give_up(place, &out) { End::TimedOut } else { End::NeverSent };
@@ -316,7 +318,7 @@
     }
 
     /// Takes a forward off its connection and tells the host, if it was told of it; false: it was told nothing.
-    fn give_up(&mut self, place: Place, out: &Out) -> bool {
+    fn give_up(&mut self, place: GetIndex, out: &Out) -> bool {
         let sent = !self.take_back(out);
         let Some(key) = out.link else { return sent };
         if let Some(out) = &mut self.in_flight.at(place).out {
@@ -339,7 +341,7 @@
     }
 
     /// The next answer of a host that a forward waits for.
-    pub fn next_answered(&mut self) -> Option<(Place, Outcome)> {
+    pub fn next_answered(&mut self) -> Option<(GetIndex, Outcome)> {
         while let Some(&key) = self.heard_links.front() {
             if let Some(answered) = self.read_link(key) {
                 return Some(answered);
@@ -349,7 +351,7 @@
         None
     }
 
-    fn read_link(&mut self, key: Key) -> Option<(Place, Outcome)> {
+    fn read_link(&mut self, key: Key) -> Option<(GetIndex, Outcome)> {
         loop {
             let Self { links, in_flight, .. } = self;
             let link = links.get_mut(key)?;
@@ -395,7 +397,7 @@
         }
     }
 
-    fn answered(&mut self, place: Place, mut end: End, answer: resp::Answer) -> Option<Outcome> {
+    fn answered(&mut self, place: GetIndex, mut end: End, answer: resp::Answer) -> Option<Outcome> {
         let pending = self.in_flight.at(place);
         let out = pending.out.take();
         if end != End::Returned {
@@ -404,7 +406,10 @@
         self.counters.must(out.is_some(), "an answer is matched to a forward that is out");
         let told = Told {
             note: codec::note(&answer),
-            source_wait: answer.field("fill").and_then(codec::number).map_or(Duration::ZERO, span),
+            source_wait: answer
+                .field("fill")
+                .and_then(codec::number)
+                .map_or(Duration::ZERO, duration_from_ms),
             load: codec::load(&answer),
         };
         if end == End::Returned && self.in_flight.at(place).owed.is_some() {
@@ -425,7 +430,7 @@
 
     /// One line, by the request's id, on a GET returned after its class's objective: where it went, from which
     /// source, how long the host waited for that source, and how long the forward took.
-    fn log_late(&mut self, place: Place, out: &Out, told: &Told) {
+    fn log_late(&mut self, place: GetIndex, out: &Out, told: &Told) {
         let pending = self.in_flight.at(place);
         let (in_hand, ds) = (pending.in_hand(self.now), pending.get.ds);
         if in_hand <= self.limits.aim(ds) {
@@ -443,7 +448,7 @@
     }
 
     /// The next forward that ended here.
-    pub fn next_ended(&mut self) -> Option<(Place, Outcome)> {
+    pub fn next_ended(&mut self) -> Option<(GetIndex, Outcome)> {
         while let Some((place, serial, end)) = self.ended.pop_front() {
             let out = self.in_flight.at(place).out.take_if(|out| out.serial == serial);
             if let Some(out) = out {
@@ -453,7 +458,7 @@
         None
     }
 
-    fn outcome(&mut self, place: Place, out: &Out, end: End, told: Told) -> Outcome {
+    fn outcome(&mut self, place: GetIndex, out: &Out, end: End, told: Told) -> Outcome {
         let Told { note, source_wait, load } = told;
         self.counters.ended(end, note);
         self.filled_from_origin += u32::from(note == Note::FilledFromOrigin);
@@ -469,9 +474,9 @@
         }
         let pending = self.in_flight.at(place);
         pending.last = Some((out.to.host, end, note));
-        pending.may_have_run |= !end.proven() && end != End::Returned;
+        pending.may_have_run |= !end.proves_not_run() && end != End::Returned;
         let closed = pending.owed.is_none();
-        Outcome { hop: out.hop, end, spent, closed, note, source_wait, load }
+        Outcome { attempt: out.hop, end, elapsed: spent, is_answered: closed, note, source_wait, load }
     }
 }
 
@@ -479,12 +484,12 @@
 struct Told {
     note: Note,
     source_wait: Duration,
-    load: Load,
+    load: LoadReport,
 }
 
 impl Default for Told {
     fn default() -> Self {
-        Self { note: Note::Untold, source_wait: Duration::ZERO, load: Load::default() }
+        Self { note: Note::Untold, source_wait: Duration::ZERO, load: LoadReport::default() }
     }
 }
 
--- a/crates/dispatcher/src/routing/guards.rs
+++ b/crates/dispatcher/src/routing/guards.rs
@@ -5,7 +5,7 @@
 use super::Key;
 use super::in_flight::{Out, Pending};
 use super::proxy::Proxy;
-use myrtlegauge::interface::{End, Place, Standing, Values};
+use myrtlegauge::interface::{End, GetIndex, HostStatus, Settings};
 use std::fmt;
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
 
 impl Effect {
     /// Each class's effect, as the settings tell it.
-    pub fn read_all(settings: &Values) -> Vec<Self> {
+    pub fn read_all(settings: &Settings) -> Vec<Self> {
         let classes = settings.get("classes").and_then(|value| value.as_array()).into_iter().flatten();
         let effect = |class: &serde_json::Value| match class.get("effect").and_then(|value| value.as_str()) {
             Some("idempotent") => Self::Idempotent,
@@ -120,10 +120,10 @@
 impl Proxy {
     /// What keeps a forward from leaving now, by the facts as they are at this moment.
     fn unsendable(&self, pending: &Pending, out: &Out) -> Option<Unsendable> {
-        let is_on = |host: usize| self.hosts[host].entry.standing == Standing::On;
+        let is_on = |host: usize| self.hosts[host].entry.status == HostStatus::Active;
         let repeats = pending.may_have_run;
         let effect = self.effects.get(pending.get.ds).copied().unwrap_or(Effect::Once);
-        let window_over = out.to.begin_by > Duration::ZERO && self.now >= out.to.begin_by;
+        let window_over = out.to.start_deadline > Duration::ZERO && self.now >= out.to.start_deadline;
         match () {
             () if pending.owed.is_none() => Some(Unsendable::ClientLeft),
             () if self.now >= out.until => Some(Unsendable::OutOfTime),
@@ -137,7 +137,7 @@
 
     /// The guard of sending and repeating: whether a forward may be written to its connection now. One that may not never ran,
     /// and is decided again.
-    pub fn may_write(&mut self, key: Key, place: Place) -> bool {
+    pub fn may_write(&mut self, key: Key, place: GetIndex) -> bool {
         let pending = self.in_flight.peek(place);
         let Some(out) = pending.out else { return false };
         let Some(why) = self.unsendable(pending, &out).filter(|why| self.is_guarded(why.rule())) else {
@@ -155,7 +155,7 @@
     }
 
     /// The check of both: what is written breaks no rule.
-    pub fn check_written(&mut self, place: Place) {
+    pub fn check_written(&mut self, place: GetIndex) {
         let pending = self.in_flight.peek(place);
         let unsendable = pending.out.and_then(|out| self.unsendable(pending, &out));
         if let Some(why) = unsendable {
@@ -165,12 +165,12 @@
     }
 
     /// The guard of rejecting: whether a client may be told that its request never ran.
-    pub fn may_reject(&self, place: Place) -> bool {
+    pub fn may_reject(&self, place: GetIndex) -> bool {
         !self.is_guarded(Rule::Repeating) || !self.ran_perhaps(place)
     }
 
     /// Its check.
-    pub fn check_rejected(&mut self, place: Place) {
+    pub fn check_rejected(&mut self, place: GetIndex) {
         if self.ran_perhaps(place) {
             let id = self.in_flight.peek(place).id;
             self.counters.violated(
@@ -181,7 +181,7 @@
     }
 
     /// An effect that is not to run twice may have run, or may still.
-    fn ran_perhaps(&self, place: Place) -> bool {
+    fn ran_perhaps(&self, place: GetIndex) -> bool {
         let pending = self.in_flight.peek(place);
         let effect = self.effects.get(pending.get.ds).copied().unwrap_or(Effect::Once);
         let is_out = pending.out.is_some_and(|out| out.message.is_some());
--- a/crates/dispatcher/src/routing/hosts.rs
+++ b/crates/dispatcher/src/routing/hosts.rs
@@ -2,7 +2,7 @@
 
 use super::{Dispatcher, Key};
 use bytes::Bytes;
-use myrtlegauge::interface::{Entry, HostIndex, Place};
+use myrtlegauge::interface::{GetIndex, HostEntry, HostIndex};
 use myrtlegauge_wire::transport::Connection;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 pub struct Host {
     pub name: Bytes,
     /// As the list told it last.
-    pub entry: Entry,
+    pub entry: HostEntry,
     pub address: Option<SocketAddr>,
     /// Since when it is gone; nothing is sent there any more.
     pub gone_at: Option<Duration>,
@@ -28,7 +28,7 @@
     /// When it came up, or, before that, when it was asked for.
     pub since: Duration,
     /// GETs with a forward out here, those that wait for it to come up included.
-    pub out: Vec<Place>,
+    pub out: Vec<GetIndex>,
     /// Takes nothing new: its host has started anew, or something out here was given up in silence.
     pub retired: bool,
     pub ended: bool,
--- a/crates/dispatcher/src/routing/in_flight.rs
+++ b/crates/dispatcher/src/routing/in_flight.rs
@@ -1,7 +1,7 @@
 //! GETs in hand, each in the place that the module gave it.
 
 use super::Key;
-use myrtlegauge::interface::{End, Forward, Get, HostIndex, Note, Place};
+use myrtlegauge::interface::{End, Forward, Get, GetIndex, HostIndex, Note};
 use myrtlegauge_wire::protocol::fastcgi::Request;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -56,7 +56,7 @@
 }
 
 impl InFlight {
-    pub fn open(&mut self, place: Place, pending: Pending) {
+    pub fn open(&mut self, place: GetIndex, pending: Pending) {
         if self.places.len() <= place {
             self.places.resize_with(place + 1, Pending::default);
         }
@@ -65,21 +65,21 @@
         self.places[place] = pending;
     }
 
-    pub fn peek(&self, place: Place) -> &Pending {
+    pub fn peek(&self, place: GetIndex) -> &Pending {
         &self.places[place]
     }
 
-    pub fn at(&mut self, place: Place) -> &mut Pending {
+    pub fn at(&mut self, place: GetIndex) -> &mut Pending {
         &mut self.places[place]
     }
 
     /// The GETs that are owed an answer.
-    pub fn places(&self) -> Vec<Place> {
+    pub fn places(&self) -> Vec<GetIndex> {
         (0..self.places.len()).filter(|&place| self.places[place].owed.is_some()).collect()
     }
 
     /// Takes away what is owed, so that it can be paid once only.
-    pub fn settle(&mut self, place: Place) -> Option<(Key, u16)> {
+    pub fn settle(&mut self, place: GetIndex) -> Option<(Key, u16)> {
         let owed = self.places[place].owed.take()?;
         self.owed -= 1;
         Some(owed)
@@ -90,7 +90,7 @@
         self.ids.contains(&id)
     }
 
-    pub fn clear(&mut self, place: Place) {
+    pub fn clear(&mut self, place: GetIndex) {
         self.ids.remove(&self.places[place].id);
         self.places[place] = Pending::default();
     }
--- a/crates/dispatcher/src/routing/mod.rs
+++ b/crates/dispatcher/src/routing/mod.rs
@@ -22,7 +22,7 @@
 pub use guards::{Guards, Rule};
 pub use keyed::Key;
 use myrtlegauge::decide::{Round, Router};
-use myrtlegauge::interface::{ListKind, Purged, Values};
+use myrtlegauge::interface::{ListUpdate, PurgeKey, Settings};
 use myrtlegauge_membership::driver::{self, Member};
 pub use myrtlegauge_replication::SubscriberDefences;
 use myrtlegauge_replication::{HostLine, Purge, PurgeTarget};
@@ -56,7 +56,7 @@
     pub listen: SocketAddr,
     pub changelog: SocketAddr,
     pub known: changelog::Changes<'a>,
-    pub facts: &'a Values,
+    pub facts: &'a Settings,
     pub seed: u64,
     pub room: Room,
     /// All but in tests.
@@ -87,10 +87,10 @@
     pub fn start(hub: Hub<Self>, mut startup: Startup<'_>) -> Result<Self, String> {
         let mut router = Router::new(startup.facts, startup.seed)?;
         if !startup.guards.starting {
-            router.leave_slow_start_unlimited();
+            router.disable_slow_start_limit();
         }
         if !startup.guards.repeating {
-            router.leave_repeats_unguarded();
+            router.disable_repeat_guard();
         }
         let accounts = Rc::new(Accounts::default());
         let listener = Listener::open(&hub, startup.listen, Who::Listener, &accounts)
@@ -127,11 +127,11 @@
         let now = started.proxy.now;
         started.router.round(now, &mut started.proxy, |round| {
             let last = startup.known.last;
-            let known = round.writer().list_known;
-            round.list_known(known);
-            tell_changes(round, startup.known, ListKind::Kept);
+            let known = round.sink().list_known;
+            round.on_list_known(known);
+            tell_changes(round, startup.known, ListUpdate::Persisted);
             // A start is told all there was; what it leaves out is of no use any more.
-            round.writer().told_up_to(last);
+            round.sink().told_up_to(last);
         });
         Ok(started)
     }
@@ -172,53 +172,53 @@
             let began = Instant::now();
             let now = proxy.now;
             router.round(now, proxy, |round| {
-                while let Some(body) = round.writer().next_changes() {
+                while let Some(body) = round.sink().next_changes() {
                     tell_polled(round, &body);
                 }
-                while let Some(change) = round.writer().next_replicated() {
+                while let Some(change) = round.sink().next_replicated() {
                     tell_replicated(round, &change);
                 }
-                round.writer().look_for_doubt();
-                let doubted = round.writer().doubted;
-                round.doubted(doubted);
-                let list_known = round.writer().list_known;
-                round.list_known(list_known);
-                if let Some(sharers) = round.writer().sharers.take() {
-                    round.shared(sharers as f64);
+                round.sink().look_for_doubt();
+                let doubted = round.sink().doubted;
+                round.set_purges_unknown_since(doubted);
+                let list_known = round.sink().list_known;
+                round.on_list_known(list_known);
+                if let Some(sharers) = round.sink().sharers.take() {
+                    round.set_router_count(sharers as f64);
                 }
-                let moved = round.writer().zones_moved();
+                let moved = round.sink().zones_moved();
                 if !moved.is_empty() {
-                    round.listed(ListKind::Changes, &moved);
+                    round.on_host_list(ListUpdate::Changes, &moved);
                 }
                 // What ends interest comes before what spends: a forward that failed is not tried again for who has left.
-                while let Some(place) = round.writer().next_abandoned() {
-                    round.abandoned(place);
+                while let Some(place) = round.sink().next_abandoned() {
+                    round.on_abandoned(place);
                 }
                 tell_processes(round);
-                while let Some(host) = round.writer().came_up.pop() {
-                    round.reported(host, true);
+                while let Some(host) = round.sink().came_up.pop() {
+                    round.on_host_report(host, true);
                 }
-                while let Some((place, outcome)) = round.writer().next_answered() {
+                while let Some((place, outcome)) = round.sink().next_answered() {
                     tell_processes(round);
-                    round.outcome(place, &outcome);
+                    round.on_outcome(place, &outcome);
                 }
                 tell_processes(round);
-                while let Some((place, outcome)) = round.writer().next_ended() {
-                    round.outcome(place, &outcome);
+                while let Some((place, outcome)) = round.sink().next_ended() {
+                    round.on_outcome(place, &outcome);
                 }
-                if round.writer().must_answer() {
-                    round.writer().lifecycle.gave_up();
-                    for place in round.writer().in_flight.places() {
-                        round.cut_short(place);
+                if round.sink().must_answer() {
+                    round.sink().lifecycle.gave_up();
+                    for place in round.sink().in_flight.places() {
+                        round.answer_now(place);
                     }
                 }
-                let mut place = round.next_place();
-                while let Some(get) = round.writer().next_get(place) {
-                    round.take(get);
-                    place = round.next_place();
+                let mut place = round.next_get_index();
+                while let Some(get) = round.sink().next_get(place) {
+                    round.on_get(get);
+                    place = round.next_get_index();
                 }
-                if round.writer().wakes() {
-                    round.woken();
+                if round.sink().wakes() {
+                    round.on_wakeup();
                 }
             });
             proxy.write();
@@ -235,7 +235,7 @@
         if proxy.tidy() {
             // What the module believes to be out at a host is what stands on its connections.
             for host in 0..proxy.hosts.len() {
-                let holds = router.out_at(host) == proxy.out_at(host) as f64;
+                let holds = router.in_flight_at(host) == proxy.out_at(host) as f64;
                 proxy.counters.must(holds, "forwards out at a host are those on its connections");
             }
         }
@@ -307,53 +307,53 @@
 }
 
 fn tell_polled(round: &mut Round<'_, Proxy>, body: &Bytes) {
-    let before = round.writer().last_change();
+    let before = round.sink().last_change();
     match serde_json::from_slice(body) {
         Ok(changes) => {
-            tell_changes(round, changes, ListKind::Whole);
-            round.writer().polled(before);
+            tell_changes(round, changes, ListUpdate::Full);
+            round.sink().polled(before);
         }
-        Err(e) => round.writer().unread(format_args!("an answer of the change log can't be read: {e}")),
+        Err(e) => round.sink().unread(format_args!("an answer of the change log can't be read: {e}")),
     }
 }
 
 /// What connections tell of hosts' processes, before anything is decided by it. An end and a connection that came up after it
 /// are told in this order: what is up in a turn was dialled before that turn.
 fn tell_processes(round: &mut Round<'_, Proxy>) {
-    while let Some((host, at, evidence)) = round.writer().processes_ended.pop() {
-        round.process_ended(host, at, evidence);
+    while let Some((host, at, evidence)) = round.sink().processes_ended.pop() {
+        round.on_process_ended(host, at, evidence);
     }
-    while let Some(host) = round.writer().connected.pop() {
-        round.connected(host);
+    while let Some(host) = round.sink().connected.pop() {
+        round.on_connected(host);
     }
 }
 
 /// Each numbered event once, in order; `whole` is what a whole list counts as.
-fn tell_changes(round: &mut Round<'_, Proxy>, changes: changelog::Changes<'_>, whole: ListKind) {
-    let now = round.writer().now;
-    changes.stamps().for_each(|stamp| round.writer().clock.heard(stamp, now));
-    let offset = round.writer().clock.unix_offset();
-    round.unix_offset(offset);
+fn tell_changes(round: &mut Round<'_, Proxy>, changes: changelog::Changes<'_>, whole: ListUpdate) {
+    let now = round.sink().now;
+    changes.stamps().for_each(|stamp| round.sink().clock.heard(stamp, now));
+    let offset = round.sink().clock.unix_offset();
+    round.on_unix_offset(offset);
     for change in &changes.results {
-        match round.writer().is_next(change.number) {
+        match round.sink().is_next(change.number) {
             Some(true) => {}
             Some(false) => continue,
             None => return,
         }
         if let Some(fleet) = &change.fleet {
-            let entries = round.writer().listed(&fleet.endpoints, fleet.snapshot);
-            round.listed(if fleet.snapshot { whole } else { ListKind::Changes }, &entries);
+            let entries = round.sink().listed(&fleet.endpoints, fleet.snapshot);
+            round.on_host_list(if fleet.snapshot { whole } else { ListUpdate::Changes }, &entries);
         }
         if let Some(purge) = &change.invalidate {
             let object = purge.object.as_deref().and_then(|id| codec::hex(id.as_bytes()));
-            tell_purge(round, object.map(Purged::Object).or(purge.bucket.map(Purged::Group)));
+            tell_purge(round, object.map(PurgeKey::Object).or(purge.bucket.map(PurgeKey::Group)));
         }
     }
 }
 
-fn tell_purge(round: &mut Round<'_, Proxy>, named: Option<Purged>) {
-    if let Some(named) = round.writer().purged(named) {
-        round.purged(named, Duration::ZERO);
+fn tell_purge(round: &mut Round<'_, Proxy>, named: Option<PurgeKey>) {
+    if let Some(named) = round.sink().purged(named) {
+        round.on_purge(named, Duration::ZERO);
     }
 }
 
@@ -362,28 +362,28 @@
     match change {
         Change::HostLines(lines) => tell_host_lines(round, lines),
         Change::Purge(purge) => tell_purge_record(round, purge),
-        Change::Other => round.writer().counters.changes += 1,
+        Change::Other => round.sink().counters.changes += 1,
     }
 }
 
 fn tell_host_lines(round: &mut Round<'_, Proxy>, lines: &[HostLine]) {
-    round.writer().counters.changes += lines.len() as u64;
+    round.sink().counters.changes += lines.len() as u64;
     let mut endpoints = Vec::with_capacity(lines.len());
     for line in lines {
         match changelog::Endpoint::deserialize(&line.endpoint) {
             Ok(endpoint) => endpoints.push(endpoint),
-            Err(e) => round.writer().fault(format_args!("the line of host {} can't be read: {e}", line.name)),
+            Err(e) => round.sink().fault(format_args!("the line of host {} can't be read: {e}", line.name)),
         }
     }
-    let entries = round.writer().listed(&endpoints, false);
-    round.listed(ListKind::Changes, &entries);
+    let entries = round.sink().listed(&endpoints, false);
+    round.on_host_list(ListUpdate::Changes, &entries);
 }
 
 fn tell_purge_record(round: &mut Round<'_, Proxy>, Purge { target, .. }: &Purge) {
-    round.writer().counters.changes += 1;
+    round.sink().counters.changes += 1;
     let named = match target {
-        PurgeTarget::Object(object) => codec::hex(object.as_bytes()).map(Purged::Object),
-        PurgeTarget::Group(group) => Some(Purged::Group(*group)),
+        PurgeTarget::Object(object) => codec::hex(object.as_bytes()).map(PurgeKey::Object),
+        PurgeTarget::Group(group) => Some(PurgeKey::Group(*group)),
     };
     tell_purge(round, named);
 }
--- a/crates/dispatcher/src/routing/news.rs
+++ b/crates/dispatcher/src/routing/news.rs
@@ -6,7 +6,7 @@
 use super::replicas::{Change, Doubt};
 use bytes::Bytes;
 use myrtlegauge::host_life::{EndEvidence, is_to_new_process};
-use myrtlegauge::interface::{End, Entry, HostIndex, Purged, Standing};
+use myrtlegauge::interface::{End, HostEntry, HostIndex, HostStatus, PurgeKey};
 use myrtlegauge_wire::feed::Step;
 use myrtlegauge_wire::protocol::Fault;
 use myrtlegauge_wire::protocol::changelog::Endpoint;
@@ -145,7 +145,7 @@
     fn doubt_processes(&mut self, before: Duration) {
         for index in 0..self.hosts.len() {
             if !self.hosts[index].name.is_empty() && !self.has_live_link(index) {
-                self.process_ended(index, before, EndEvidence::Unseen);
+                self.process_ended(index, before, EndEvidence::Unobserved);
             }
         }
     }
@@ -158,7 +158,7 @@
     /// A connection has ended at its other end, or a dial was refused. Where no other is up, the process may be gone.
     pub fn lost_link(&mut self, host: HostIndex, evidence: EndEvidence) {
         let is_unseen = evidence == EndEvidence::ConnectionsEnded && self.doubted.is_some();
-        let evidence = if is_unseen { EndEvidence::Unseen } else { evidence };
+        let evidence = if is_unseen { EndEvidence::Unobserved } else { evidence };
         if !self.has_live_link(host) {
             self.process_ended(host, self.now, evidence);
         }
@@ -189,27 +189,27 @@
     }
 
     /// What a purge names. It counts from now on, when it is heard of: its time is another machine's claim, and late is safe.
-    pub fn purged(&mut self, named: Option<Purged>) -> Option<Purged> {
+    pub fn purged(&mut self, named: Option<PurgeKey>) -> Option<PurgeKey> {
         if named.is_none() {
             self.fault(format_args!("a purge names neither an object nor a group"));
         }
         self.counters.purges += 1;
         let named = named?;
         self.decide_anew(|pending, _| match named {
-            Purged::Object(object) => pending.get.object == object,
-            Purged::Group(group) => pending.get.group == group,
+            PurgeKey::Object(object) => pending.get.object == object,
+            PurgeKey::Group(group) => pending.get.group == group,
         });
         Some(named)
     }
 
     /// The list's lines as entries; a host that started anew gets new connections. Whom a whole list leaves out is
     /// gone.
-    pub fn listed(&mut self, lines: &[Endpoint<'_>], whole: bool) -> Vec<Entry> {
+    pub fn listed(&mut self, lines: &[Endpoint<'_>], whole: bool) -> Vec<HostEntry> {
         let mut entries = Vec::with_capacity(lines.len());
         for index in 0..if whole { self.hosts.len() } else { 0 } {
             if !lines.iter().any(|line| line.name.as_bytes() == self.hosts[index].name) {
                 let Host { entry, address, .. } = self.hosts[index];
-                self.stands(index, Entry { standing: Standing::Gone, ..entry }, address);
+                self.stands(index, HostEntry { status: HostStatus::Removed, ..entry }, address);
             }
         }
         for line in lines {
@@ -217,7 +217,7 @@
             if new {
                 let host = Host {
                     name: Bytes::copy_from_slice(line.name.as_bytes()),
-                    entry: Entry { host: index, units: 1.0, ..Entry::default() },
+                    entry: HostEntry { host: index, weight: 1.0, ..HostEntry::default() },
                     address: None,
                     gone_at: None,
                     process_ended_at: None,
@@ -245,13 +245,13 @@
     }
 
     /// Takes a host's entry and address as they are told now, with all that follows for its connections.
-    fn stands(&mut self, index: HostIndex, entry: Entry, address: Option<SocketAddr>) {
-        let gone = entry.standing == Standing::Gone;
+    fn stands(&mut self, index: HostIndex, entry: HostEntry, address: Option<SocketAddr>) {
+        let gone = entry.status == HostStatus::Removed;
         let host = &mut self.hosts[index];
         let has_started = has_another_start(&host.entry, &entry);
         (host.entry, host.gone_at) = (entry, host.gone_at.or(Some(self.now)).filter(|_| gone));
         self.new_life(index, address, has_started);
-        if entry.standing != Standing::On {
+        if entry.status != HostStatus::Active {
             self.decide_anew(|_, out| out.to.host == index || out.to.source == index);
         }
     }
@@ -279,7 +279,7 @@
         let entry = self.hosts[index].entry;
         for host in 0..self.hosts.len() {
             let own = host == index;
-            if !own && (self.hosts[host].address != address || entry.standing != Standing::On) {
+            if !own && (self.hosts[host].address != address || entry.status != HostStatus::Active) {
                 continue;
             }
             for key in self.hosts[host].links.clone() {
@@ -287,7 +287,7 @@
                 let is_earlier = link.up && !is_to_new_process(link.since, ended, self.list_known);
                 if !own || moved || has_started && is_earlier {
                     self.end_link(key, End::Reset);
-                } else if entry.standing == Standing::Gone {
+                } else if entry.status == HostStatus::Removed {
                     link.retired = true;
                 }
             }
@@ -319,6 +319,6 @@
 }
 
 /// Whether a line of a host tells of another start than the one that is known.
-fn has_another_start(known: &Entry, told: &Entry) -> bool {
-    told.start.stamp() != 0 && told.start.stamp() != known.start.stamp()
+fn has_another_start(known: &HostEntry, told: &HostEntry) -> bool {
+    told.start.claimed_unix_ms() != 0 && told.start.claimed_unix_ms() != known.start.claimed_unix_ms()
 }
--- a/crates/dispatcher/src/routing/proxy.rs
+++ b/crates/dispatcher/src/routing/proxy.rs
@@ -13,8 +13,8 @@
 use super::{Dispatcher, Key, Who};
 use bytes::BytesMut;
 use myrtlegauge::host_life::EndEvidence;
-use myrtlegauge::interface::{End, Get, HostIndex, Note, Place, Values, span};
-use myrtlegauge::values::{self, flag, number};
+use myrtlegauge::interface::{End, Get, GetIndex, HostIndex, Note, Settings, duration_from_ms};
+use myrtlegauge::settings::{self, flag, number};
 use myrtlegauge_recovery::{LossCause, StartupTimeline};
 use myrtlegauge_wire::clock::Clock;
 use myrtlegauge_wire::feed::Feed;
@@ -86,9 +86,9 @@
 /// What falls due for a forward or a connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
-    Forward(Place, u64),
+    Forward(GetIndex, u64),
     /// A forward that has not begun by now may no longer.
-    Begin(Place, u64),
+    Begin(GetIndex, u64),
     /// GETs wait no longer for a connection to come up.
     Connect(Key),
     /// Nor does anybody.
@@ -124,8 +124,8 @@
     pub heard_clients: VecDeque<Key>,
     pub dirty: Vec<Who>,
     /// Forwards that ended here and not by an answer, to be told in the next round.
-    pub ended: VecDeque<(Place, u64, End)>,
-    pub abandoned: VecDeque<Place>,
+    pub ended: VecDeque<(GetIndex, u64, End)>,
+    pub abandoned: VecDeque<GetIndex>,
     /// Requests that came in this turn and are to be taken, none of whose clients has left since.
     pub asked: VecDeque<Asked>,
     /// Hosts whose connections came up after they had been told not to.
@@ -213,26 +213,29 @@
         self.aims.get(ds).copied().unwrap_or(Duration::MAX)
     }
 
-    pub fn read(told: &Values) -> Self {
+    pub fn read(told: &Settings) -> Self {
         let services = || told.get("classes").and_then(|v| v.as_array()).into_iter().flatten();
         let longest = services().filter_map(|ds| ds.get("deadline_ms")?.as_f64()).fold(0.0, f64::max);
         let aims = services()
-            .map(|ds| span(ds.get("aim_ms").and_then(|v| v.as_f64()).unwrap_or(f64::MAX)))
+            .map(|ds| duration_from_ms(ds.get("aim_ms").and_then(|v| v.as_f64()).unwrap_or(f64::MAX)))
             .collect();
         let most = |ds: &serde_json::Value| {
             let told = |name: &str| ds.get(name).and_then(|v| v.as_f64());
-            span(told("aim_ms").unwrap_or(f64::MAX) * (1.0 + told("aim_stretch").unwrap_or(0.0).max(0.0)))
+            duration_from_ms(
+                told("aim_ms").unwrap_or(f64::MAX) * (1.0 + told("aim_stretch").unwrap_or(0.0).max(0.0)),
+            )
         };
         Self {
             aims_most: services().map(most).collect(),
             streams: number(told, "limits.streams_per_conn").map_or(1, |n| n as usize).max(1),
-            idle: values::span(told, "limits.conn_idle_ms").unwrap_or_default().mul_f64(IDLE_PART),
-            connect: values::span(told, "limits.connect_timeout_ms").unwrap_or_default(),
+            idle: settings::duration(told, "limits.conn_idle_ms").unwrap_or_default().mul_f64(IDLE_PART),
+            connect: settings::duration(told, "limits.connect_timeout_ms").unwrap_or_default(),
             cancel: flag(told, "limits.cancel"),
-            part: number(told, "domain.flow_kb_per_s")
-                .map_or(PART_LEAST, |flow| span(LARGEST_KB / flow * PART_SLOW * 1e3).max(PART_LEAST)),
+            part: number(told, "domain.flow_kb_per_s").map_or(PART_LEAST, |flow| {
+                duration_from_ms(LARGEST_KB / flow * PART_SLOW * 1e3).max(PART_LEAST)
+            }),
             forwards: number(told, "limits.max_attempts").map_or(u32::MAX, |n| n as u32),
-            longest: span(if longest > 0.0 { longest } else { codec::BUDGET_MOST }),
+            longest: duration_from_ms(if longest > 0.0 { longest } else { codec::BUDGET_MOST }),
             aims,
             origin_kind: number(told, "domain.master_kind").ok().map(|n| n as usize),
         }
@@ -389,7 +392,7 @@
     }
 
     /// Records a request that was not answered, by its cause.
-    pub fn note_lost(&mut self, place: Place) {
+    pub fn note_lost(&mut self, place: GetIndex) {
         let pending = self.in_flight.at(place);
         let cause = match pending.last {
             _ if !self.listed => LossCause::HostList,
@@ -526,7 +529,7 @@
     }
 
     /// A GET of the next request that is whole, if there is one; requests that are not GETs are answered here.
-    pub fn next_get(&mut self, place: Place) -> Option<Get> {
+    pub fn next_get(&mut self, place: GetIndex) -> Option<Get> {
         while let Some(Asked { key, request }) = self.asked.pop_front() {
             if let Some(get) = self.take(key, place, request) {
                 return Some(get);
@@ -535,7 +538,7 @@
         None
     }
 
-    pub fn next_abandoned(&mut self) -> Option<Place> {
+    pub fn next_abandoned(&mut self) -> Option<GetIndex> {
         self.abandoned.pop_front()
     }
 }
--- a/crates/dispatcher/src/routing/zones.rs
+++ b/crates/dispatcher/src/routing/zones.rs
@@ -2,7 +2,7 @@
 //! bears what holds now. Only where an operator file names services to follow; never in `run`.
 
 use super::proxy::Proxy;
-use myrtlegauge::interface::{End, Entry, HostIndex, Standing};
+use myrtlegauge::interface::{End, HostEntry, HostIndex, HostStatus};
 use myrtlegauge_zones::{Belief, Own, Saw, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -80,16 +80,16 @@
     }
 
     /// A host's entry as the module is told it: a zone that takes nothing drains, one that comes back takes a part.
-    pub fn told(&self, entry: Entry) -> Entry {
+    pub fn told(&self, entry: HostEntry) -> HostEntry {
         let part = self.parts.get(entry.zone).copied().unwrap_or(1.0);
-        let drains = part <= 0.0 && entry.standing == Standing::On;
-        let standing = if drains { Standing::Draining } else { entry.standing };
-        Entry { standing, held_back: 1.0 - part, ..entry }
+        let drains = part <= 0.0 && entry.status == HostStatus::Active;
+        let standing = if drains { HostStatus::Draining } else { entry.status };
+        HostEntry { status: standing, withheld_fraction: 1.0 - part, ..entry }
     }
 
     /// Whether a key is of the part that the fleet sheds.
     pub fn is_over(&self, key: u64) -> bool {
-        self.sheds > 0.0 && myrtlegauge::reading::in_part(key, OVER, self.sheds)
+        self.sheds > 0.0 && myrtlegauge::snapshot::is_in_key_fraction(key, OVER, self.sheds)
     }
 
     pub fn is_unsure(&self, now: Duration) -> bool {
@@ -163,7 +163,7 @@
 
     /// Closes an interval of evidence where it is over; the hosts whose zones take another part from now on, as the
     /// module is to be told them.
-    pub fn zones_moved(&mut self) -> Vec<Entry> {
+    pub fn zones_moved(&mut self) -> Vec<HostEntry> {
         let now = self.now;
         if self.zones.as_ref().is_some_and(|zones| now >= zones.reports_at) {
             self.report_zones();
@@ -180,12 +180,16 @@
         if moved.is_empty() {
             return Vec::new();
         }
-        let concerned = |entry: &Entry| moved.contains(&entry.zone) && entry.standing != Standing::Gone;
+        let concerned =
+            |entry: &HostEntry| moved.contains(&entry.zone) && entry.status != HostStatus::Removed;
         let entries = self.hosts.iter().filter(|host| !host.name.is_empty() && concerned(&host.entry));
         let entries: Vec<_> =
             entries.filter_map(|host| Some(self.zones.as_ref()?.told(host.entry))).collect();
-        let drained: Vec<_> =
-            entries.iter().filter(|entry| entry.standing != Standing::On).map(|entry| entry.host).collect();
+        let drained: Vec<_> = entries
+            .iter()
+            .filter(|entry| entry.status != HostStatus::Active)
+            .map(|entry| entry.host)
+            .collect();
         if !drained.is_empty() {
             self.decide_anew(|_, out| drained.contains(&out.to.host) || drained.contains(&out.to.source));
         }
--- a/crates/lab/src/capacity/hollow/dispatcher.rs
+++ b/crates/lab/src/capacity/hollow/dispatcher.rs
@@ -8,7 +8,9 @@
 use bytes::Bytes;
 use calloop::EventLoop;
 use myrtlegauge::decide::{Round, Router};
-use myrtlegauge::interface::{Dispatch, Entry, Forward, ListKind, Place, Purged, Standing, Values};
+use myrtlegauge::interface::{
+    DecisionSink, Forward, GetIndex, HostEntry, HostStatus, ListUpdate, PurgeKey, Settings,
+};
 use myrtlegauge_dispatcher::routing::replicas::{Change, Doubt, Replicas};
 use myrtlegauge_dispatcher::routing::{ReplicaKey, ReplicasStartup, SubscriberDefences};
 use myrtlegauge_membership::driver::{self, Member};
@@ -67,7 +69,7 @@
 /// A host as it was listed.
 struct KnownHost {
     name: String,
-    entry: Entry,
+    entry: HostEntry,
 }
 
 /// A purge that this round's core was told.
@@ -128,7 +130,8 @@
         start: &HollowStart,
         tally: Arc<Tally>,
     ) -> Result<Self, String> {
-        let settings: Values = serde_json::from_value(config.settings.clone()).map_err(|e| e.to_string())?;
+        let settings: Settings =
+            serde_json::from_value(config.settings.clone()).map_err(|e| e.to_string())?;
         let router = Router::new(&settings, config.seed.wrapping_add(start.number as u64))?;
         let clock = Clock::start();
         let member = start.member.as_ref().map(|told| membership(&hub, &start.name, told)).transpose()?;
@@ -157,7 +160,7 @@
         };
         let mut hollow = Self { router, wire, _member: member };
         let now = hollow.wire.now;
-        hollow.router.round(now, &mut hollow.wire, |round| round.listed(ListKind::Kept, &[]));
+        hollow.router.round(now, &mut hollow.wire, |round| round.on_host_list(ListUpdate::Persisted, &[]));
         Ok(hollow)
     }
 
@@ -168,20 +171,20 @@
         while wire.has_news() {
             let now = wire.now;
             router.round(now, wire, |round| {
-                while let Some(body) = round.writer().next_changes() {
+                while let Some(body) = round.sink().next_changes() {
                     take_answer(round, &body);
                 }
-                while let Some(change) = round.writer().next_replicated() {
+                while let Some(change) = round.sink().next_replicated() {
                     take_replicated(round, &change);
                 }
-                round.writer().look_for_doubt();
-                let doubted = round.writer().doubted;
-                round.doubted(doubted);
-                if let Some(sharers) = round.writer().sharers.take() {
-                    round.shared(sharers as f64);
+                round.sink().look_for_doubt();
+                let doubted = round.sink().doubted;
+                round.set_purges_unknown_since(doubted);
+                if let Some(sharers) = round.sink().sharers.take() {
+                    round.set_router_count(sharers as f64);
                 }
-                if round.writer().wakes() {
-                    round.woken();
+                if round.sink().wakes() {
+                    round.on_wakeup();
                 }
             });
             wire.count_purges();
@@ -189,7 +192,7 @@
         }
         if wire.tidies() {
             for host in 0..wire.hosts.len() {
-                assert_eq!(router.out_at(host), 0.0, "nothing is forwarded without clients");
+                assert_eq!(router.in_flight_at(host), 0.0, "nothing is forwarded without clients");
             }
         }
         wire.count();
@@ -239,28 +242,28 @@
 
 /// An answer of the change log, as the dispatcher takes it.
 fn take_answer(round: &mut Round<'_, Wire>, body: &Bytes) {
-    let before = round.writer().feed.last;
+    let before = round.sink().feed.last;
     match serde_json::from_slice(body) {
         Ok(changes) => {
             take_changes(round, &changes);
-            round.writer().answered(before);
+            round.sink().answered(before);
         }
-        Err(_) => round.writer().lose(),
+        Err(_) => round.sink().lose(),
     }
 }
 
 /// Each numbered event once, in order.
 fn take_changes(round: &mut Round<'_, Wire>, changes: &Changes<'_>) {
     for change in &changes.results {
-        let now = round.writer().now;
-        match round.writer().feed.step(change.number, now) {
+        let now = round.sink().now;
+        match round.sink().feed.step(change.number, now) {
             Step::Known => continue,
             Step::Missing(_) => return,
             Step::Next | Step::Beyond(_) => {}
         }
         if let Some(fleet) = &change.fleet {
-            let entries = round.writer().listed(&fleet.endpoints, fleet.snapshot);
-            round.listed(if fleet.snapshot { ListKind::Whole } else { ListKind::Changes }, &entries);
+            let entries = round.sink().listed(&fleet.endpoints, fleet.snapshot);
+            round.on_host_list(if fleet.snapshot { ListUpdate::Full } else { ListUpdate::Changes }, &entries);
         }
         if let Some(purge) = &change.invalidate {
             take_purge(round, purge.object.as_deref(), purge.unix_ms);
@@ -277,8 +280,8 @@
         Change::HostLines(lines) => {
             let read = lines.iter().filter_map(|line| Endpoint::deserialize(&line.endpoint).ok());
             let endpoints: Vec<_> = read.collect();
-            let entries = round.writer().listed(&endpoints, false);
-            round.listed(ListKind::Changes, &entries);
+            let entries = round.sink().listed(&endpoints, false);
+            round.on_host_list(ListUpdate::Changes, &entries);
         }
         Change::Purge(_) | Change::Other => {}
     }
@@ -287,10 +290,10 @@
 /// A purge of one object; the runs publish no others.
 fn take_purge(round: &mut Round<'_, Wire>, object: Option<&str>, published_unix_ms: f64) {
     let object = object.and_then(|id| u64::from_str_radix(id, 16).ok());
-    let Some(object) = object.filter(|_| !round.writer().deaf_to_purges) else { return };
-    let wire = round.writer();
+    let Some(object) = object.filter(|_| !round.sink().deaf_to_purges) else { return };
+    let wire = round.sink();
     wire.taken.push(TakenPurge { object, published_unix_ms });
-    round.purged(Purged::Object(object), Duration::ZERO);
+    round.on_purge(PurgeKey::Object(object), Duration::ZERO);
 }
 
 impl Wire {
@@ -379,24 +382,24 @@
     }
 
     /// The list's lines as the decision core takes them.
-    fn listed(&mut self, lines: &[Endpoint<'_>], whole: bool) -> Vec<Entry> {
+    fn listed(&mut self, lines: &[Endpoint<'_>], whole: bool) -> Vec<HostEntry> {
         if whole {
             for host in &mut self.hosts {
                 if !lines.iter().any(|line| line.name == host.name) {
-                    host.entry.standing = Standing::Gone;
+                    host.entry.status = HostStatus::Removed;
                 }
             }
         }
         let entries = lines.iter().map(|line| self.entry(line)).collect();
-        let active = self.hosts.iter().filter(|host| host.entry.standing == Standing::On).count();
+        let active = self.hosts.iter().filter(|host| host.entry.status == HostStatus::Active).count();
         self.tally.active_hosts.store(active, Ordering::Relaxed);
         entries
     }
 
-    fn entry(&mut self, line: &Endpoint<'_>) -> Entry {
+    fn entry(&mut self, line: &Endpoint<'_>) -> HostEntry {
         let (index, new) = self.places.host(&line.name);
         if new {
-            let entry = Entry { host: index, units: 1.0, ..Entry::default() };
+            let entry = HostEntry { host: index, weight: 1.0, ..HostEntry::default() };
             self.hosts.push(KnownHost { name: line.name.to_string(), entry });
         }
         let (entry, _) = self.places.entry(&self.hosts[index].entry, line, &self.clock, self.now);
@@ -444,22 +447,22 @@
 }
 
 /// Without clients nothing is decided; only the wake-up is asked for.
-impl Dispatch for Wire {
-    fn forward(&mut self, _: Place, _: &Forward) {}
+impl DecisionSink for Wire {
+    fn forward(&mut self, _: GetIndex, _: &Forward) {}
 
-    fn withdraw(&mut self, _: Place, _: u32) {}
+    fn withdraw(&mut self, _: GetIndex, _: u32) {}
 
-    fn shed(&mut self, _: Place, _: Option<Duration>) {}
+    fn shed(&mut self, _: GetIndex, _: Option<Duration>) {}
 
-    fn error(&mut self, _: Place) {}
+    fn error(&mut self, _: GetIndex) {}
 
-    fn settled(&mut self, _: Place) {}
+    fn release(&mut self, _: GetIndex) {}
 
-    fn wake(&mut self, after: Duration) {
+    fn schedule_wakeup(&mut self, after: Duration) {
         self.wake_at = self.wake_at.min(self.now + after);
     }
 
-    fn follow_list(&mut self) {}
+    fn subscribe_host_list(&mut self) {}
 
     fn log(&mut self, _: std::fmt::Arguments<'_>) {}
 }
--- a/crates/lab/src/fleet/servers.rs
+++ b/crates/lab/src/fleet/servers.rs
@@ -5,8 +5,8 @@
 use crate::stand::hosts::{self, Bounds, Cold, FRESH_MS, Host};
 use crate::stand::ledger::unix_ms;
 use crate::stand::net::Net;
-use myrtlegauge::interface::mark;
-use myrtlegauge::reading::{Share, Tier, key};
+use myrtlegauge::interface::hash_host_id;
+use myrtlegauge::snapshot::{HostShare, Tier, ring_key};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
@@ -85,10 +85,10 @@
     let now = unix_ms();
     for kind in ["cache", "parent"] {
         let tier: Vec<_> = hosts.iter().filter(|host| host.kind == kind).collect();
-        let ring = Tier::lay(tier.iter().enumerate().map(|(index, host)| share(index, host)).collect());
+        let ring = Tier::build(tier.iter().enumerate().map(|(index, host)| share(index, host)).collect());
         let mut copies = vec![BTreeMap::new(); tier.len()];
         for object in objects() {
-            if let Some(share) = ring.takers(key(object, 0)).next() {
+            if let Some(share) = ring.candidates(ring_key(object, 0)).next() {
                 copies[share.host].insert(object, now - random.f64() * FRESH_MS);
             }
         }
@@ -97,6 +97,13 @@
 }
 
 /// A host's share of the ring.
-fn share(index: usize, host: &Host) -> Share {
-    Share { host: index, mark: mark(&host.name), points: RING_POINTS, part: 1.0, near: true, fills: 1.0 }
+fn share(index: usize, host: &Host) -> HostShare {
+    HostShare {
+        host: index,
+        id_hash: hash_host_id(&host.name),
+        points: RING_POINTS,
+        key_fraction: 1.0,
+        is_near: true,
+        max_fills: 1.0,
+    }
 }
--- a/crates/lab/src/xds/proxy.rs
+++ b/crates/lab/src/xds/proxy.rs
@@ -278,8 +278,8 @@
         let mut from = self.purges_seen.lock().expect("no holder panics");
         for (purge, named, unix_ms) in self.ledger.purges(*from) {
             let named = match named {
-                Named::Object(object) => myrtlegauge::interface::Purged::Object(object),
-                Named::Group(group) => myrtlegauge::interface::Purged::Group(group),
+                Named::Object(object) => myrtlegauge::interface::PurgeKey::Object(object),
+                Named::Group(group) => myrtlegauge::interface::PurgeKey::Group(group),
             };
             let held = self.session().follower.purged(named);
             if held.is_none_or(|held| (held.at_unix_ms as f64) < unix_ms.floor()) {
--- a/crates/model/src/engine/baselines.rs
+++ b/crates/model/src/engine/baselines.rs
@@ -3,8 +3,8 @@
 use super::state::Request;
 use super::{Engine, GROUPS, PART};
 use crate::world::{Policy, Service, World};
-use myrtlegauge::interface::{Forward, Standing};
-use myrtlegauge::reading::{Tier, key};
+use myrtlegauge::interface::{Forward, HostStatus};
+use myrtlegauge::snapshot::{Tier, ring_key};
 use std::time::Duration;
 
 /// What the informed bound does with a request.
@@ -19,7 +19,7 @@
     pub(super) fn send_baseline_attempt(&mut self, dispatcher: usize, id: u64, location: usize) {
         let Some(&Request { object, service, .. }) = self.requests.get(&id) else { return };
         let kind = &self.world.services[service];
-        let (cache, parent) = self.choose_hosts(location, key(object, PART));
+        let (cache, parent) = self.choose_hosts(location, ring_key(object, PART));
         let Some(host) = cache else { return self.answer(id, false, true) };
         let origin = self.world.origin();
         let source = if kind.non_idempotent { origin } else { parent.unwrap_or(origin) };
@@ -34,12 +34,12 @@
             host,
             source,
             timeout: kind.timeout,
-            keep: 1,
+            retention_rank: 1,
             accepted_age,
-            join: false,
-            held_only: false,
+            join_fill: false,
+            only_if_cached: false,
             renew: false,
-            begin_by: Duration::ZERO,
+            start_deadline: Duration::ZERO,
         };
         let sender = &mut self.dispatchers[dispatcher];
         let place = sender.requests.len();
@@ -56,12 +56,12 @@
         let informed = self.world.policy == Policy::Informed;
         let is_listed = |host: &usize| {
             let host = &self.hosts[*host];
-            host.standing == Standing::On && !(informed && (!host.up || host.silent))
+            host.standing == HostStatus::Active && !(informed && (!host.up || host.silent))
         };
         if self.world.policy == Policy::Random {
             return (Some(cache).filter(is_listed), Some(parent).filter(is_listed));
         }
-        let by_ring = |ring: &Tier| ring.takers(key).map(|share| share.host).find(is_listed);
+        let by_ring = |ring: &Tier| ring.candidates(key).map(|share| share.host).find(is_listed);
         (by_ring(&self.cache_rings[location]), by_ring(&self.parent_ring))
     }
 
@@ -72,7 +72,7 @@
         let origin_in_time = self.origin_is_in_time(kind.objective);
         let now = self.now;
         let mut holds = |host: usize, max_age: Duration| {
-            let born = self.hosts[host].store.touch(key(object, PART), 1, purged_before);
+            let born = self.hosts[host].store.touch(ring_key(object, PART), 1, purged_before);
             born.is_some_and(|born| now - born <= max_age)
         };
         if holds(host, fresh) || source != self.world.origin() && holds(source, fresh) {
--- a/crates/model/src/engine/clients.rs
+++ b/crates/model/src/engine/clients.rs
@@ -5,7 +5,7 @@
 use super::{Engine, GROUPS, PART};
 use crate::world::{Policy, Service};
 use myrtlegauge::interface::{End, Get, Note};
-use myrtlegauge::reading::key;
+use myrtlegauge::snapshot::ring_key;
 use std::time::Duration;
 
 /// Skew of popularity: the power of a uniform draw that names the object. With 3 a tenth of the objects get half of the
@@ -95,8 +95,8 @@
             group: request.object % GROUPS,
             size_kb: request.size,
             viewer_timeout: self.world.services[request.service].timeout,
-            again: false,
-            over: false,
+            is_retry: false,
+            in_shed_fraction: false,
         };
         let Dispatcher { router: Some(router), decisions, requests, hops, .. } =
             &mut self.dispatchers[dispatcher]
@@ -104,13 +104,13 @@
             return;
         };
         request.place = router.round(self.now, decisions, |round| {
-            let place = round.next_place();
+            let place = round.next_get_index();
             if requests.len() <= place {
                 requests.resize(place + 1, None);
                 hops.resize(place + 1, 0);
             }
             (requests[place], hops[place]) = (Some(id), 0);
-            round.take(get);
+            round.on_get(get);
             place
         });
         self.apply_decisions(dispatcher);
@@ -161,7 +161,7 @@
         let (dispatcher, place) = (request.dispatcher, request.place);
         self.figures.errored += 1;
         if self.world.policy == Policy::Module {
-            self.round(dispatcher, |round| round.abandoned(place));
+            self.round(dispatcher, |round| round.on_abandoned(place));
             if let Some(serial) = self.dispatchers[dispatcher].out.get(&place).copied() {
                 self.end_attempt(serial, End::Withdrawn, Note::Untold, false);
             }
@@ -174,5 +174,5 @@
 
 /// Kilobytes of an object: the same for all requests, from a quarter to seven quarters of the mean.
 fn object_size(service: &Service, object: u64) -> f64 {
-    service.size_kb * (0.25 + 1.5 * (key(object, SIZE_PART) >> 11) as f64 / (1u64 << 53) as f64)
+    service.size_kb * (0.25 + 1.5 * (ring_key(object, SIZE_PART) >> 11) as f64 / (1u64 << 53) as f64)
 }
--- a/crates/model/src/engine/dispatchers.rs
+++ b/crates/model/src/engine/dispatchers.rs
@@ -5,7 +5,9 @@
 use super::{Engine, host_mark};
 use crate::world::Policy;
 use myrtlegauge::decide::{Round, Router};
-use myrtlegauge::interface::{End, Entry, Forward, ListKind, Load, Note, Outcome, Place, Purged, Start};
+use myrtlegauge::interface::{
+    End, Forward, GetIndex, HostEntry, ListUpdate, LoadReport, Note, Outcome, PurgeKey, Start,
+};
 use std::time::Duration;
 
 /// Timeout of an attempt without one of its own.
@@ -17,21 +19,21 @@
 
 impl Engine<'_> {
     /// A host's entry in the host list.
-    fn entry(&self, host: usize) -> Entry {
+    fn entry(&self, host: usize) -> HostEntry {
         let Host { standing, started, .. } = self.hosts[host];
         let is_origin = host == self.world.origin();
         let kind = if is_origin { ORIGIN_KIND } else { usize::from(self.world.is_parent(host)) };
         let slots = self.world.slots as f64;
-        Entry {
+        HostEntry {
             host,
-            mark: host_mark(host),
-            standing,
+            id_hash: host_mark(host),
+            status: standing,
             start: Start::At(started),
             zone: self.world.zone(host),
             cell: 0,
             kind,
-            units: if kind == 0 { slots } else { slots * PARENT_UNITS },
-            held_back: 0.0,
+            weight: if kind == 0 { slots } else { slots * PARENT_UNITS },
+            withheld_fraction: 0.0,
         }
     }
 
@@ -41,9 +43,9 @@
             Some(host) => vec![self.entry(host)],
             None => (0..self.hosts.len()).map(|host| self.entry(host)).collect(),
         };
-        let kind = if host.is_some() { ListKind::Changes } else { ListKind::Whole };
+        let kind = if host.is_some() { ListUpdate::Changes } else { ListUpdate::Full };
         for dispatcher in 0..self.dispatchers.len() {
-            self.round(dispatcher, |round| round.listed(kind, &entries));
+            self.round(dispatcher, |round| round.on_host_list(kind, &entries));
         }
     }
 
@@ -67,14 +69,14 @@
         }
     }
 
-    fn reject(&mut self, dispatcher: usize, place: Place, errored: bool) {
+    fn reject(&mut self, dispatcher: usize, place: GetIndex, errored: bool) {
         if let Some(request) = self.dispatchers[dispatcher].requests[place] {
             self.answer(request, false, errored);
         }
     }
 
     /// Sends an attempt to a host.
-    pub(super) fn send_attempt(&mut self, dispatcher: usize, place: Place, to: Forward) {
+    pub(super) fn send_attempt(&mut self, dispatcher: usize, place: GetIndex, to: Forward) {
         let Some(request) = self.dispatchers[dispatcher].requests[place] else { return };
         let serial = self.events.next_number();
         let sender = &mut self.dispatchers[dispatcher];
@@ -127,13 +129,13 @@
         }
         let Some(end) = attempt.end else { return };
         let outcome = Outcome {
-            hop: attempt.hop,
+            attempt: attempt.hop,
             end,
-            spent: self.now - attempt.sent_at,
-            closed: end == End::Returned,
+            elapsed: self.now - attempt.sent_at,
+            is_answered: end == End::Returned,
             note: attempt.note,
             source_wait: attempt.source_wait,
-            load: Load::default(),
+            load: LoadReport::default(),
         };
         self.attempts.remove(&serial);
         if self.dispatchers[dispatcher].out.get(&place) == Some(&serial) {
@@ -143,7 +145,7 @@
             self.object_returned(request, born);
         }
         if self.world.policy == Policy::Module {
-            self.round(dispatcher, |round| round.outcome(place, &outcome));
+            self.round(dispatcher, |round| round.on_outcome(place, &outcome));
         } else if end != End::Returned {
             self.answer(request, false, matches!(end, End::Errored | End::TimedOut));
         }
@@ -180,10 +182,10 @@
         // The module took these settings at the start of the run, so it takes them again.
         self.dispatchers[dispatcher].router = Router::new(&self.world.settings(location), seed).ok();
         let entries: Vec<_> = (0..self.hosts.len()).map(|host| self.entry(host)).collect();
-        self.round(dispatcher, |round| round.listed(ListKind::Whole, &entries));
+        self.round(dispatcher, |round| round.on_host_list(ListUpdate::Full, &entries));
         for (group, at) in self.purged.clone() {
             let age = self.now - at;
-            self.round(dispatcher, |round| round.purged(Purged::Group(group), age));
+            self.round(dispatcher, |round| round.on_purge(PurgeKey::Group(group), age));
         }
     }
 }
--- a/crates/model/src/engine/faults.rs
+++ b/crates/model/src/engine/faults.rs
@@ -4,7 +4,7 @@
 use super::store::Store;
 use super::{Engine, GROUPS};
 use crate::world::FaultKind;
-use myrtlegauge::interface::{End, Note, Purged, Standing};
+use myrtlegauge::interface::{End, HostStatus, Note, PurgeKey};
 use std::time::Duration;
 
 /// A draining host is gone this long before the end of its fault.
@@ -61,12 +61,12 @@
         self.oracle.purged(group, self.now);
         self.purged.insert(group, self.now);
         for dispatcher in 0..self.dispatchers.len() {
-            self.round(dispatcher, |round| round.purged(Purged::Group(group), Duration::ZERO));
+            self.round(dispatcher, |round| round.on_purge(PurgeKey::Group(group), Duration::ZERO));
         }
     }
 
     fn drain_host(&mut self, host: usize, duration: Duration) {
-        self.hosts[host].standing = Standing::Draining;
+        self.hosts[host].standing = HostStatus::Draining;
         self.oracle.drains(host, self.now);
         self.announce_hosts(Some(host));
         let gone = self.now + duration.saturating_sub(GONE_BEFORE_END);
@@ -102,8 +102,8 @@
     /// A host is as it was before a fault; one that was killed or gone comes back cold.
     fn restore_host(&mut self, host: usize) {
         let back = &mut self.hosts[host];
-        let is_cold = !back.up || back.standing != Standing::On;
-        (back.up, back.silent, back.slow, back.standing) = (true, false, false, Standing::On);
+        let is_cold = !back.up || back.standing != HostStatus::Active;
+        (back.up, back.silent, back.slow, back.standing) = (true, false, false, HostStatus::Active);
         if is_cold {
             (back.started, back.store) = (self.now, Store::default());
         }
--- a/crates/model/src/engine/hosts.rs
+++ b/crates/model/src/engine/hosts.rs
@@ -3,7 +3,7 @@
 use super::event::{Event, Serial};
 use super::{Engine, PART, max_age};
 use myrtlegauge::interface::{End, Note};
-use myrtlegauge::reading::key;
+use myrtlegauge::snapshot::ring_key;
 use std::time::Duration;
 
 /// A purge reaches every store by itself in this time, as dispatchers are configured.
@@ -51,7 +51,7 @@
             return self.start_transfer(to.host, serial);
         }
         let purged_before = self.purged_before(object);
-        let born = self.hosts[to.host].store.touch(key(object, PART), to.keep, purged_before);
+        let born = self.hosts[to.host].store.touch(ring_key(object, PART), to.retention_rank, purged_before);
         let max_age = max_age(&to, service.fresh);
         if let Some(born) = born.filter(|born| self.now - *born <= max_age) {
             return self.serve_copy(serial, to.host, born, service.fresh);
@@ -103,7 +103,8 @@
         let (object, size) = (request.object, request.size);
         let max_age = max_age(&to, self.world.services[request.service].fresh);
         let purged_before = self.purged_before(object);
-        let born = self.hosts[to.source].store.touch(key(object, PART), to.keep, purged_before);
+        let born =
+            self.hosts[to.source].store.touch(ring_key(object, PART), to.retention_rank, purged_before);
         match born.filter(|born| self.now - *born <= max_age) {
             Some(born) => {
                 let took = Duration::from_secs_f64(size / self.world.pace_kb / PARENT_SPEED);
@@ -112,7 +113,7 @@
                 }
                 self.events.push(self.now + took + self.world.hub_way, Event::FillCompleted(serial));
             }
-            None if to.held_only => self.end_attempt(serial, End::Miss, Note::SourceLacks, true),
+            None if to.only_if_cached => self.end_attempt(serial, End::Miss, Note::SourceLacks, true),
             None => self.ask_origin(serial),
         }
     }
@@ -124,14 +125,14 @@
         let by_origin = attempt.note == Note::FilledFromOrigin;
         attempt.source_wait = self.now.saturating_sub(attempt.sent_at);
         let Some(request) = self.requests.get(&attempt.request) else { return };
-        let (key, size) = (key(request.object, PART), request.size);
+        let (key, size) = (ring_key(request.object, PART), request.size);
         if by_origin && self.world.is_parent(to.source) && self.hosts[to.source].up {
-            self.hosts[to.source].store.put(key, born, to.keep, size, self.world.parent_store_kb);
+            self.hosts[to.source].store.put(key, born, to.retention_rank, size, self.world.parent_store_kb);
         }
         if !self.hosts[to.host].up {
             return self.end_attempt(serial, End::Reset, Note::Untold, true);
         }
-        self.hosts[to.host].store.put(key, born, to.keep, size, self.world.store_kb);
+        self.hosts[to.host].store.put(key, born, to.retention_rank, size, self.world.store_kb);
         self.start_transfer(to.host, serial);
     }
 
--- a/crates/model/src/engine/mod.rs
+++ b/crates/model/src/engine/mod.rs
@@ -18,8 +18,8 @@
 use event::{Event, EventQueue, Serial};
 use figures::TimeSeries;
 use myrtlegauge::decide::Router;
-use myrtlegauge::interface::{End, Forward, Note, Standing, mark};
-use myrtlegauge::reading::{Share, Tier};
+use myrtlegauge::interface::{End, Forward, HostStatus, Note, hash_host_id};
+use myrtlegauge::snapshot::{HostShare, Tier};
 use state::{Attempt, Dispatcher, Host, Origin, Request};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -83,9 +83,9 @@
     fn new(world: &'a World, seed: u64) -> Result<Self, String> {
         let mut random = fastrand::Rng::with_seed(seed);
         let dispatchers = start_dispatchers(world, &mut random)?;
-        let host = || Host { up: true, standing: Standing::On, ..Host::default() };
+        let host = || Host { up: true, standing: HostStatus::Active, ..Host::default() };
         let of_location = |location: usize, each: usize| location * each..(location + 1) * each;
-        let ring = |hosts: std::ops::Range<usize>| Tier::lay(hosts.map(ring_share).collect());
+        let ring = |hosts: std::ops::Range<usize>| Tier::build(hosts.map(ring_share).collect());
         let mut engine = Self {
             world,
             events: EventQueue::default(),
@@ -157,11 +157,11 @@
             Event::OutcomeReceived(serial) => self.outcome_received(serial),
             Event::AttemptTimedOut(serial) => self.end_attempt(serial, End::TimedOut, Note::Untold, false),
             Event::ClientGaveUp(request) => self.client_gave_up(request),
-            Event::TimerExpired(dispatcher) => self.round(dispatcher, |round| round.woken()),
+            Event::TimerExpired(dispatcher) => self.round(dispatcher, |round| round.on_wakeup()),
             Event::FaultStarted(fault) => self.start_fault(fault),
             Event::FaultEnded(fault) => self.end_fault(fault),
             Event::HostGone(host) => {
-                self.hosts[host].standing = Standing::Gone;
+                self.hosts[host].standing = HostStatus::Removed;
                 self.announce_hosts(Some(host));
             }
         }
@@ -191,13 +191,20 @@
 }
 
 /// A host's share of a baseline's ring.
-fn ring_share(host: usize) -> Share {
-    Share { host, mark: host_mark(host), points: RING_POINTS, part: 1.0, near: true, fills: 0.0 }
+fn ring_share(host: usize) -> HostShare {
+    HostShare {
+        host,
+        id_hash: host_mark(host),
+        points: RING_POINTS,
+        key_fraction: 1.0,
+        is_near: true,
+        max_fills: 0.0,
+    }
 }
 
 /// The mark by which rings place a host.
 fn host_mark(host: usize) -> u64 {
-    mark(&format!("host-{host}"))
+    hash_host_id(&format!("host-{host}"))
 }
 
 /// The oldest copy that may be returned: as the attempt says, else the freshness lifetime of the service, or any age where
--- a/crates/model/src/engine/state.rs
+++ b/crates/model/src/engine/state.rs
@@ -3,7 +3,7 @@
 use super::event::Serial;
 use super::store::Store;
 use myrtlegauge::decide::Router;
-use myrtlegauge::interface::{Dispatch, End, Forward, Note, Place, Standing};
+use myrtlegauge::interface::{DecisionSink, End, Forward, GetIndex, HostStatus, Note};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     pub up: bool,
     pub silent: bool,
     pub slow: bool,
-    pub standing: Standing,
+    pub standing: HostStatus,
     pub started: Duration,
     /// Number of its process.
     pub process: u32,
@@ -40,7 +40,7 @@
     pub dispatcher: usize,
     /// Process of the dispatcher that sent it.
     pub process: u32,
-    pub place: Place,
+    pub place: GetIndex,
     pub hop: u32,
     pub to: Forward,
     pub sent_at: Duration,
@@ -64,15 +64,15 @@
     pub answered: bool,
     pub given_up: bool,
     pub dispatcher: usize,
-    pub place: Place,
+    pub place: GetIndex,
 }
 
 /// What the decision module decided, in order.
 pub(super) enum Decision {
-    Forward(Place, Forward),
-    Shed(Place),
-    Error(Place),
-    Settled(Place),
+    Forward(GetIndex, Forward),
+    Shed(GetIndex),
+    Error(GetIndex),
+    Settled(GetIndex),
     Wake(Duration),
 }
 
@@ -80,24 +80,24 @@
 #[derive(Default)]
 pub(super) struct Decisions(pub Vec<Decision>);
 
-impl Dispatch for Decisions {
-    fn forward(&mut self, get: Place, forward: &Forward) {
+impl DecisionSink for Decisions {
+    fn forward(&mut self, get: GetIndex, forward: &Forward) {
         self.0.push(Decision::Forward(get, *forward));
     }
-    fn withdraw(&mut self, _: Place, _: u32) {}
-    fn shed(&mut self, get: Place, _: Option<Duration>) {
+    fn withdraw(&mut self, _: GetIndex, _: u32) {}
+    fn shed(&mut self, get: GetIndex, _: Option<Duration>) {
         self.0.push(Decision::Shed(get));
     }
-    fn error(&mut self, get: Place) {
+    fn error(&mut self, get: GetIndex) {
         self.0.push(Decision::Error(get));
     }
-    fn settled(&mut self, get: Place) {
+    fn release(&mut self, get: GetIndex) {
         self.0.push(Decision::Settled(get));
     }
-    fn wake(&mut self, after: Duration) {
+    fn schedule_wakeup(&mut self, after: Duration) {
         self.0.push(Decision::Wake(after));
     }
-    fn follow_list(&mut self) {}
+    fn subscribe_host_list(&mut self) {}
     fn log(&mut self, _: std::fmt::Arguments<'_>) {}
 }
 
@@ -113,5 +113,5 @@
     /// Attempts sent for each place.
     pub hops: Vec<u32>,
     /// The attempt that is out for each place.
-    pub out: BTreeMap<Place, Serial>,
+    pub out: BTreeMap<GetIndex, Serial>,
 }
--- a/crates/recovery/src/fill_limiter.rs
+++ b/crates/recovery/src/fill_limiter.rs
@@ -101,25 +101,25 @@
     /// The fill succeeded within its objective.
     pub in_time: bool,
     /// Seconds that the fill waited for the first byte of the origin, where that is known.
-    pub waited: Option<f64>,
+    pub waited_s: Option<f64>,
     /// Latency objective in seconds.
-    pub objective: f64,
-    pub took: Duration,
+    pub objective_s: f64,
+    pub duration: Duration,
 }
 
 impl FillOutcome {
     /// The outcome of fills of which only their success is known.
     pub fn untimed(in_time: bool) -> Self {
-        Self { in_time, waited: None, objective: 1.0, took: Duration::ZERO }
+        Self { in_time, waited_s: None, objective_s: 1.0, duration: Duration::ZERO }
     }
 
     /// The wait as a fraction of the objective, zero where it is not known.
     fn wait_fraction(&self) -> f64 {
-        self.of_objective(self.waited.unwrap_or(0.0))
+        self.of_objective(self.waited_s.unwrap_or(0.0))
     }
 
     fn of_objective(&self, seconds: f64) -> f64 {
-        seconds / self.objective.max(MIN_OBJECTIVE_S)
+        seconds / self.objective_s.max(MIN_OBJECTIVE_S)
     }
 }
 
@@ -257,7 +257,7 @@
         let easy = EASY.of(self.sharers, base);
         let congested = outcome.in_time && waited > CONGESTED.of(self.sharers, base);
         self.failures = self.failures << 1 | u32::from(!outcome.in_time);
-        self.mean_duration += DURATION_WEIGHT * (outcome.took.as_secs_f64() - self.mean_duration);
+        self.mean_duration += DURATION_WEIGHT * (outcome.duration.as_secs_f64() - self.mean_duration);
         let failing = !outcome.in_time && count_recent(self.failures, RECENT_FILLS) > 1;
         if (congested || failing) && self.may_cut(now) {
             let factor =
@@ -270,7 +270,7 @@
     }
 
     fn learn_base_wait(&mut self, outcome: &FillOutcome) {
-        if let Some(waited) = outcome.waited.filter(|_| outcome.in_time) {
+        if let Some(waited) = outcome.waited_s.filter(|_| outcome.in_time) {
             let risen = self.base_wait + BASE_RISE * (waited - self.base_wait);
             self.base_wait = if self.base_wait > 0.0 { waited.min(risen) } else { waited };
         }
@@ -309,7 +309,12 @@
 
     fn fill(waited: f64, objective: f64) -> FillOutcome {
         let took = Duration::from_secs_f64(waited + 0.05);
-        FillOutcome { in_time: waited < objective, waited: Some(waited), objective, took }
+        FillOutcome {
+            in_time: waited < objective,
+            waited_s: Some(waited),
+            objective_s: objective,
+            duration: took,
+        }
     }
 
     fn limiter() -> FillLimiter {
--- a/crates/recovery/src/latency_estimator.rs
+++ b/crates/recovery/src/latency_estimator.rs
@@ -31,21 +31,21 @@
     /// use std::time::Duration;
     ///
     /// let (mut latency, now) = (LatencyEstimator::default(), Duration::from_secs(9));
-    /// assert_eq!(latency.estimate(0.2, now), 0.2);
+    /// assert_eq!(latency.estimate_s(0.2, now), 0.2);
     /// latency.record(1.0, 0.5, 0.2, now);
-    /// assert!(latency.estimate(0.2, now) > 0.3);
+    /// assert!(latency.estimate_s(0.2, now) > 0.3);
     /// // Ten seconds later it is forgotten.
-    /// assert!(latency.estimate(0.2, now + Duration::from_secs(10)) < 0.21);
+    /// assert!(latency.estimate_s(0.2, now + Duration::from_secs(10)) < 0.21);
     /// ```
-    pub fn estimate(&self, sending: f64, now: Duration) -> f64 {
+    pub fn estimate_s(&self, sending: f64, now: Duration) -> f64 {
         let retained = 0.5f64.powf(now.saturating_sub(self.observed_at).as_secs_f64() / HALF_LIFE_S);
         self.wait * retained + sending * (1.0 + (self.slope - 1.0).max(0.0) * retained)
     }
 
     /// Records the time that a transfer took and its wait, both in seconds. The transfer may still be running.
     pub fn record(&mut self, took: f64, wait: f64, sending: f64, now: Duration) {
-        let old_wait = self.estimate(0.0, now);
-        let old_slope = self.estimate(1.0, now) - old_wait;
+        let old_wait = self.estimate_s(0.0, now);
+        let old_slope = self.estimate_s(1.0, now) - old_wait;
         let weight = (OBSERVATION_WEIGHT * sending / self.mean_sending.max(sending)).min(1.0);
         self.mean_sending +=
             if self.mean_sending > 0.0 { MEAN_WEIGHT * (sending - self.mean_sending) } else { sending };
--- a/crates/recovery/src/slow_start.rs
+++ b/crates/recovery/src/slow_start.rs
@@ -8,7 +8,7 @@
     /// Seconds of work per second.
     pub rate: f64,
     /// Seconds of work at this rate that may be sent at once.
-    pub window: f64,
+    pub window_s: f64,
 }
 
 /// The slow start that a host is in, as one router knows it.
@@ -43,7 +43,7 @@
         phase: f64,
         now: Duration,
     ) -> bool {
-        let burst = share.rate * share.window;
+        let burst = share.rate * share.window_s;
         let drained = now.saturating_sub(self.asked_at).as_secs_f64() * share.rate;
         self.pending = (self.pending - drained).max(0.0);
         if self.asked_at < cold_since.at {
--- a/crates/recovery/src/slow_start_check.rs
+++ b/crates/recovery/src/slow_start_check.rs
@@ -19,13 +19,13 @@
     ///
     /// A share that falls, as when the host starts anew, begins a new window: what was sent before was within the earlier one.
     /// A request heavier than the share passes now and then, so that one on each side of a window is let be.
-    pub fn holds(&mut self, work: f64, share: WorkShare, now: Duration) -> bool {
-        let is_over = now.saturating_sub(self.began).as_secs_f64() >= share.window;
+    pub fn check(&mut self, work: f64, share: WorkShare, now: Duration) -> bool {
+        let is_over = now.saturating_sub(self.began).as_secs_f64() >= share.window_s;
         if is_over || share.rate < self.rate {
             (self.began, self.sent) = (now, 0.0);
         }
         self.rate = share.rate;
         self.sent += work;
-        self.sent <= MOST * (share.rate * share.window + work)
+        self.sent <= MOST * (share.rate * share.window_s + work)
     }
 }
--- a/crates/recovery/tests/slow_start.rs
+++ b/crates/recovery/tests/slow_start.rs
@@ -23,7 +23,7 @@
         for (n, limit) in limits.iter_mut().enumerate() {
             let now = start + Duration::from_millis(ms);
             let phase = (n as f64 * 0.618_034).fract();
-            if limit.admits(0.3, WorkShare { rate, window: 1.0 }, begun(start), phase, now) {
+            if limit.admits(0.3, WorkShare { rate, window_s: 1.0 }, begun(start), phase, now) {
                 seconds[ms as usize / 1000] += 0.3;
             }
         }
@@ -76,7 +76,7 @@
         let rate = PART * FALLS_AT * warmth(t) * CORES / demand.routers as f64;
         let now = start + Duration::from_secs_f64(t);
         let admits =
-            limits[router].admits(work, WorkShare { rate, window: 1.0 }, begun(start), phases[router], now);
+            limits[router].admits(work, WorkShare { rate, window_s: 1.0 }, begun(start), phases[router], now);
         if admits || !limited {
             second.push_back((t, work));
             sent += work;
@@ -188,7 +188,7 @@
             let (pause, end) = self.pauses[router];
             let at = if (pause..end).contains(&t) { end } else { t };
             let rate = PART * self.falls_at * warmth(at - from) * self.capacity / self.routers as f64;
-            let share = WorkShare { rate, window: 1.0 };
+            let share = WorkShare { rate, window_s: 1.0 };
             let at_start = epoch + Duration::from_secs_f64(from);
             let cold_since = ColdSince { at: at_start, is_older_than_router: from > self.heard_at[router] };
             let now = epoch + Duration::from_secs_f64(at);
--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -2,7 +2,7 @@
 //! other machines become claims here, and nowhere else.
 
 use myrtlegauge::host_life::StartClaim;
-use myrtlegauge::interface::span;
+use myrtlegauge::interface::duration_from_ms;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What lies before the start is a span, too.
@@ -28,7 +28,7 @@
 
     /// Notes a stamp of another machine, in Unix milliseconds: the time that it tells is past.
     pub fn heard(&mut self, unix_ms: f64, now: Duration) {
-        let past = span(unix_ms).min(self.unix(now));
+        let past = duration_from_ms(unix_ms).min(self.unix(now));
         self.unix_offset = self.unix_offset.max(past.saturating_sub(now));
     }
 
@@ -40,8 +40,8 @@
     /// What another machine's stamp of a host's start claims at `now`. A stamp ahead of this machine's clock claims no age,
     /// one that is no time, or lies before 1970, no start.
     pub fn claim(&self, unix_ms: f64, now: Duration) -> StartClaim {
-        let stamp = span(unix_ms);
-        StartClaim { stamp: stamp.as_millis() as u64, age: self.unix(now).saturating_sub(stamp) }
+        let stamp = duration_from_ms(unix_ms);
+        StartClaim { unix_ms: stamp.as_millis() as u64, age: self.unix(now).saturating_sub(stamp) }
     }
 
     /// A moment in Unix milliseconds, for other programs to compare; zero for none.
--- a/crates/wire/src/places.rs
+++ b/crates/wire/src/places.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::protocol::changelog::Endpoint;
-use myrtlegauge::interface::{Entry, HostIndex, Standing, Start, Values, mark};
+use myrtlegauge::interface::{HostEntry, HostIndex, HostStatus, Settings, Start, hash_host_id};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 impl Places {
-    pub fn new(told: &Values) -> Result<Self, String> {
+    pub fn new(told: &Settings) -> Result<Self, String> {
         let names = |name: &str| -> Result<Vec<String>, String> {
             let list = told.get(name).and_then(|v| v.as_array());
             let list = list.ok_or_else(|| format!("setting {name} is missing or no list"))?;
@@ -55,34 +55,34 @@
     /// placed is taken as gone.
     pub fn entry(
         &self,
-        known: &Entry,
+        known: &HostEntry,
         told: &Endpoint<'_>,
         clock: &Clock,
         now: Duration,
-    ) -> (Entry, Option<&'static str>) {
+    ) -> (HostEntry, Option<&'static str>) {
         let place = |list: &[String], name: &str, known: usize| match name {
             "" => Some(known),
             _ => list.iter().position(|listed| listed == name),
         };
         let standing = match &*told.status {
-            "active" => Ok(Standing::On),
-            "leaving" => Ok(Standing::Draining),
-            "left" => Ok(Standing::Gone),
+            "active" => Ok(HostStatus::Active),
+            "leaving" => Ok(HostStatus::Draining),
+            "left" => Ok(HostStatus::Removed),
             _ => Err("a status that is not known"),
         };
         let zone = place(&self.zones, &told.zone, known.zone).ok_or("a zone that is not in the settings");
         let kind = place(&self.kinds, &told.kind, known.kind).ok_or("a type that is not in the settings");
         let fault = standing.err().or(zone.err()).or(kind.err());
-        let entry = Entry {
+        let entry = HostEntry {
             host: known.host,
-            mark: mark(&told.name),
-            standing: standing.ok().filter(|_| fault.is_none()).unwrap_or(Standing::Gone),
+            id_hash: hash_host_id(&told.name),
+            status: standing.ok().filter(|_| fault.is_none()).unwrap_or(HostStatus::Removed),
             start: told.since_ms.map_or(known.start, |at| Start::Claimed(clock.claim(at, now))),
             zone: zone.unwrap_or(known.zone),
             cell: told.group.unwrap_or(known.cell),
             kind: kind.unwrap_or(known.kind),
-            units: told.weight.unwrap_or(known.units),
-            held_back: 0.0,
+            weight: told.weight.unwrap_or(known.weight),
+            withheld_fraction: 0.0,
         };
         (entry, fault)
     }
--- a/src/host_life.rs
+++ b/src/host_life.rs
@@ -13,7 +13,7 @@
 const ZERO: Duration = Duration::ZERO;
 /// A wall clock may be stepped by so much. A start that is claimed to be longer ago than this, of a host met for the first
 /// time, was long ago, whatever other stamps say.
-pub const LONGEST_CLOCK_STEP: Duration = Duration::from_secs(3 * 3600);
+pub const MAX_CLOCK_STEP: Duration = Duration::from_secs(3 * 3600);
 /// The list is old if it was not known for so long: several polls were lost, or this process did not run. Connections are
 /// reset without a restart, too, so that their end alone tells nothing while the list is newer.
 const LIST_OLD: Duration = Duration::from_millis(3000);
@@ -35,27 +35,27 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartClaim {
     /// Unix milliseconds by another machine's wall clock. Two starts of a host have two stamps; zero: it never started late.
-    pub stamp: u64,
+    pub unix_ms: u64,
     /// How long ago that was by this machine's wall clock.
     pub age: Duration,
 }
 
 /// How a line of the list was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ListingContext {
     /// In the list that this router's own process was started with.
-    AtStart,
+    InitialList,
     /// Of a host that was not known.
-    First,
+    NewHost,
     /// Of a host that is known.
-    Again,
+    KnownHost,
 }
 
 /// What a router knows of the list and of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct TimeReference {
     /// The list of hosts is known up to then.
-    pub list: Duration,
+    pub list_known_until: Duration,
     /// By two clocks, this machine's and that of others' newest stamp, Unix time is ahead of this router's own clock by at
     /// least this; zero: nothing was heard.
     pub unix_offset: Duration,
@@ -70,22 +70,22 @@
     ConnectionsEnded,
     /// This router did not run for a while, has no connection to it that was there before, and has not heard from the change
     /// log since.
-    Unseen,
+    Unobserved,
 }
 
 /// Since when a host is in slow start, and for how long it has been up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Began {
+pub struct ProcessStart {
     /// Tells one slow start from another; zero: there was none.
     pub at: Duration,
     pub age: Duration,
     /// It may have been before this router's own process.
-    pub is_from_first_list: bool,
+    pub is_from_initial_list: bool,
 }
 
 /// What the list and connections tell of a host's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HostLife {
+pub struct HostLifecycle {
     /// The stamp of the start that the list last told of.
     stamp: u64,
     /// The latest moment at which that may have been; zero: long ago.
@@ -99,23 +99,24 @@
     connected: Option<Duration>,
 }
 
-impl HostLife {
+impl HostLifecycle {
     /// Takes the start that a line of the list tells of; whether it is another than the one that is known.
     ///
     /// A stamp that is known changes nothing, nor does one that tells of no late start. A start that is heard of was now at the
     /// latest, or before the connection came up that has been there since the process before it was seen to end.
-    pub fn on_listed(&mut self, start: Start, heard: Heard, now: Duration) -> bool {
+    pub fn on_listed(&mut self, start: Start, heard: ListingContext, now: Duration) -> bool {
         let (stamp, listed) = match start {
             Start::At(at) => (0, at),
-            Start::Claimed(StartClaim { stamp: 0, .. }) => return false,
-            Start::Claimed(claim) if claim.stamp == self.stamp => return false,
-            Start::Claimed(claim) if heard != Heard::Again && claim.age > LONGEST_CLOCK_STEP => {
-                (claim.stamp, ZERO)
+            Start::Claimed(StartClaim { unix_ms: 0, .. }) => return false,
+            Start::Claimed(claim) if claim.unix_ms == self.stamp => return false,
+            Start::Claimed(claim) if heard != ListingContext::KnownHost && claim.age > MAX_CLOCK_STEP => {
+                (claim.unix_ms, ZERO)
             }
-            Start::Claimed(claim) => (claim.stamp, self.connected.unwrap_or(now)),
+            Start::Claimed(claim) => (claim.unix_ms, self.connected.unwrap_or(now)),
         };
         let is_another = stamp != 0 || self.listed < listed;
-        (self.stamp, self.listed, self.is_from_first_list) = (stamp, listed, heard == Heard::AtStart);
+        (self.stamp, self.listed, self.is_from_first_list) =
+            (stamp, listed, heard == ListingContext::InitialList);
         if is_another {
             // The connection is this process's; of a further start it tells nothing.
             (self.ended, self.connected) = (None, None);
@@ -137,16 +138,18 @@
     }
 
     /// The start of a process that may have begun since the list was known, up to `list_known`.
-    fn suspected(&self, list_known: Duration, now: Duration) -> Option<Began> {
+    fn suspected(&self, list_known: Duration, now: Duration) -> Option<ProcessStart> {
         let ended = self.ended.filter(|&ended| list_known <= ended + BACK_WITHIN)?;
         if !self.is_sure && now < list_known + LIST_OLD {
             return None;
         }
         match self.connected {
-            None => Some(Began { at: ended, age: ZERO, is_from_first_list: false }),
-            Some(connected) if list_known <= connected => {
-                Some(Began { at: connected, age: now.saturating_sub(connected), is_from_first_list: false })
-            }
+            None => Some(ProcessStart { at: ended, age: ZERO, is_from_initial_list: false }),
+            Some(connected) if list_known <= connected => Some(ProcessStart {
+                at: connected,
+                age: now.saturating_sub(connected),
+                is_from_initial_list: false,
+            }),
             Some(_) => None,
         }
     }
@@ -160,14 +163,15 @@
     }
 
     /// The latest start that the list or connections tell of, or one that was found out otherwise (`found`).
-    pub fn began(&self, found: Duration, known: &Known, now: Duration) -> Began {
+    pub fn process_start(&self, found: Duration, known: &TimeReference, now: Duration) -> ProcessStart {
         let known_start = self.listed_at(known.unix_offset).max(found);
-        let suspected = self.suspected(known.list, now).filter(|suspected| suspected.at > known_start);
+        let suspected =
+            self.suspected(known.list_known_until, now).filter(|suspected| suspected.at > known_start);
         let is_from_first_list = self.is_from_first_list && self.listed >= found;
-        suspected.unwrap_or(Began {
+        suspected.unwrap_or(ProcessStart {
             at: known_start,
             age: now.saturating_sub(known_start),
-            is_from_first_list,
+            is_from_initial_list: is_from_first_list,
         })
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 /// Place of a GET in hand; reused once `Dispatch::settled` has named it.
-pub type Place = usize;
+pub type GetIndex = usize;
 /// Small index of a cache host, parent or origin, given where names are read.
 pub type HostIndex = usize;
 
 pub use crate::host_life::StartClaim;
-pub use crate::values::Values;
+pub use crate::settings::Settings;
 
 /// A client's GET as it was taken.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,9 +21,9 @@
     pub size_kb: f64,
     pub viewer_timeout: Duration,
     /// Its client marked it as a try after the first.
-    pub again: bool,
+    pub is_retry: bool,
     /// Of the part of keys that its fleet sheds, since what remains of its zones does not bear them.
-    pub over: bool,
+    pub in_shed_fraction: bool,
 }
 
 /// How a forward ended.
@@ -45,7 +45,7 @@
 
 impl End {
     /// It proves that the forward never ran.
-    pub fn proven(self) -> bool {
+    pub fn proves_not_run(self) -> bool {
         matches!(self, End::Full | End::NoConnection | End::NeverSent | End::Miss)
     }
 }
@@ -68,31 +68,31 @@
 
 /// A host's own report; what is not told is absent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
-    pub util: Option<f64>,
-    pub in_hand: Option<f64>,
-    pub link_fill: Option<f64>,
-    pub hit_share: Option<f64>,
+pub struct LoadReport {
+    pub utilization: Option<f64>,
+    pub in_flight: Option<f64>,
+    pub link_utilization: Option<f64>,
+    pub hit_ratio: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    pub hop: u32,
+    pub attempt: u32,
     pub end: End,
-    pub spent: Duration,
+    pub elapsed: Duration,
     /// The GET has had its final answer, by this outcome or before it.
-    pub closed: bool,
+    pub is_answered: bool,
     pub note: Note,
     pub source_wait: Duration,
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
-    On,
+pub enum HostStatus {
+    Active,
     Draining,
     #[default]
-    Gone,
+    Removed,
 }
 
 /// When a host last started, as its line tells it.
@@ -106,10 +106,10 @@
 
 impl Start {
     /// The stamp that tells this start from another; zero: none.
-    pub fn stamp(self) -> u64 {
+    pub fn claimed_unix_ms(self) -> u64 {
         match self {
             Self::At(_) => 0,
-            Self::Claimed(claim) => claim.stamp,
+            Self::Claimed(claim) => claim.unix_ms,
         }
     }
 }
@@ -122,43 +122,43 @@
 
 /// One line of the list of hosts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Entry {
+pub struct HostEntry {
     pub host: HostIndex,
     /// The same number for this host at every router.
-    pub mark: u64,
-    pub standing: Standing,
+    pub id_hash: u64,
+    pub status: HostStatus,
     pub start: Start,
     pub zone: usize,
     pub cell: u64,
     pub kind: usize,
-    pub units: f64,
+    pub weight: f64,
     /// Part of its keys, from 0 to 1, that its fleet holds back from it: a zone that comes back in steps.
-    pub held_back: f64,
+    pub withheld_fraction: f64,
 }
 
 /// The number of a host for its id, the same at every router: FNV-1a.
-pub fn mark(id: &str) -> u64 {
+pub fn hash_host_id(id: &str) -> u64 {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
 /// Milliseconds as they are told; none, or no time at all, is zero.
-pub fn span(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::try_from_secs_f64((ms / 1e3).max(0.0)).unwrap_or_default()
 }
 
 /// What a purge names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Purged {
+pub enum PurgeKey {
     Object(u64),
     Group(u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     Changes,
-    Whole,
+    Full,
     /// The whole list as this router last held it, perhaps out of date.
-    Kept,
+    Persisted,
     /// A call for the list failed; what was known stays.
     Failed,
 }
@@ -171,27 +171,27 @@
     pub source: HostIndex,
     /// Zero: until the client gives up.
     pub timeout: Duration,
-    pub keep: u8,
+    pub retention_rank: u8,
     /// Zero: the fresh time of the delivery service, or any age where it has none.
     pub accepted_age: Duration,
-    pub join: bool,
+    pub join_fill: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub only_if_cached: bool,
     pub renew: bool,
     /// It may not begin after this, since the router's start: a tokened repeat whose window ends then. Zero: no such end.
-    pub begin_by: Duration,
+    pub start_deadline: Duration,
 }
 
 /// Takes the decisions, in order.
-pub trait Dispatch {
-    fn forward(&mut self, get: Place, forward: &Forward);
-    fn withdraw(&mut self, get: Place, hop: u32);
-    fn shed(&mut self, get: Place, retry_after: Option<Duration>);
-    fn error(&mut self, get: Place);
+pub trait DecisionSink {
+    fn forward(&mut self, get: GetIndex, forward: &Forward);
+    fn withdraw(&mut self, get: GetIndex, hop: u32);
+    fn shed(&mut self, get: GetIndex, retry_after: Option<Duration>);
+    fn error(&mut self, get: GetIndex);
     /// Nothing more will be said of this GET; its place may be reused.
-    fn settled(&mut self, get: Place);
-    fn wake(&mut self, after: Duration);
+    fn release(&mut self, get: GetIndex);
+    fn schedule_wakeup(&mut self, after: Duration);
     /// Follow the list of hosts from now on.
-    fn follow_list(&mut self);
+    fn subscribe_host_list(&mut self);
     fn log(&mut self, line: std::fmt::Arguments<'_>);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 //! The decisions of a traffic router for a two-tier cache. No I/O happens here.
 
 pub mod decide;
-mod footprint;
 pub mod host_life;
 pub mod interface;
-pub mod reading;
 mod ring;
+pub mod settings;
+mod site_settings;
+pub mod snapshot;
 mod state;
-pub mod values;
 
-pub use ring::{Member, Ring, Walk, Walked};
+pub use ring::{Ring, RingMember, Walk, WalkCost};
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -19,7 +19,7 @@
     far: Half,
     /// Each with its number of points.
     members: Vec<(HostIndex, u64)>,
-    walked: Cell<Walked>,
+    walked: Cell<WalkCost>,
 }
 
 /// The near or the far members' points, in order, and how many members have any.
@@ -31,27 +31,27 @@
 
 /// What a ring's walks have cost since it was laid: hosts met, and points visited on the way to them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Walked {
+pub struct WalkCost {
     pub hosts: u64,
     pub points: u64,
 }
 
 /// A member as a ring is laid.
 #[derive(Clone, Copy, Debug)]
-pub struct Member {
+pub struct RingMember {
     pub host: HostIndex,
     /// The same number for this host at every router.
-    pub mark: u64,
+    pub id_hash: u64,
     pub points: u64,
     /// Of the router's own hub.
-    pub near: bool,
+    pub is_near: bool,
 }
 
 impl Ring {
     /// Lays the ring anew.
-    pub fn lay(members: impl Iterator<Item = Member>) -> Self {
+    pub fn build(members: impl Iterator<Item = RingMember>) -> Self {
         let mut ring = Self::default();
-        for Member { host, mark, points, near } in members {
+        for RingMember { host, id_hash: mark, points, is_near: near } in members {
             ring.members.push((host, points));
             let half = if near { &mut ring.near } else { &mut ring.far };
             half.members += usize::from(points > 0);
@@ -68,12 +68,12 @@
     }
 
     /// The members with how many points each has.
-    pub fn parts(&self) -> impl Iterator<Item = (HostIndex, u64)> {
+    pub fn members_with_points(&self) -> impl Iterator<Item = (HostIndex, u64)> {
         self.members.iter().copied()
     }
 
     /// What the walks on this ring have cost since it was laid.
-    pub fn walked(&self) -> Walked {
+    pub fn walk_cost(&self) -> WalkCost {
         self.walked.get()
     }
 
@@ -98,7 +98,7 @@
     met: [HostIndex; MOST],
     count: usize,
     most: usize,
-    walked: &'a Cell<Walked>,
+    walked: &'a Cell<WalkCost>,
 }
 
 impl<const MOST: usize> Iterator for Walk<'_, MOST> {
@@ -121,18 +121,18 @@
 }
 
 /// Two running counts over a sliding window of `SLOTS` slots.
-pub struct Window<const SLOTS: usize> {
+pub struct SlidingCounts<const SLOTS: usize> {
     slots: [(u32, u32); SLOTS],
     slot: usize,
     long: Duration,
 }
 
-impl<const SLOTS: usize> Window<SLOTS> {
+impl<const SLOTS: usize> SlidingCounts<SLOTS> {
     pub fn new(long: Duration) -> Self {
         Self { slots: [(0, 0); SLOTS], slot: 0, long }
     }
 
-    pub fn turn(&mut self, now: Duration) {
+    pub fn advance(&mut self, now: Duration) {
         let slot = (now.as_millis() * SLOTS as u128 / self.long.as_millis()) as usize;
         for old in (self.slot + 1..=slot).rev().take(SLOTS) {
             self.slots[old % SLOTS] = (0, 0);
@@ -140,13 +140,13 @@
         self.slot = slot;
     }
 
-    pub fn count(&mut self, counted: u32, marked: u32) {
+    pub fn add(&mut self, counted: u32, marked: u32) {
         let (all, with) = &mut self.slots[self.slot % SLOTS];
         (*all, *with) = (all.saturating_add(counted), with.saturating_add(marked));
     }
 
     /// All that was counted, and how much of it was marked.
-    pub fn sums(&self) -> (u32, u32) {
+    pub fn totals(&self) -> (u32, u32) {
         self.slots
             .iter()
             .fold((0, 0), |sum, slot| (slot.0.saturating_add(sum.0), slot.1.saturating_add(sum.1)))
@@ -154,11 +154,11 @@
 }
 
 /// What was last noted by key, in a table of fixed size: a newer key takes an older one's place.
-pub struct Memory<T> {
+pub struct DirectMappedTable<T> {
     slots: Box<[(u32, T)]>,
 }
 
-impl<T: Copy + Default> Memory<T> {
+impl<T: Copy + Default> DirectMappedTable<T> {
     pub fn new(size: usize) -> Self {
         Self { slots: vec![(0, T::default()); size].into() }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -42,23 +42,23 @@
     })
 }
 
-pub fn entry(host: HostIndex) -> Entry {
+pub fn entry(host: HostIndex) -> HostEntry {
     let (kind, zone, units) = match host {
         ORIGIN => (2, 0, 1.0),
         host if PARENTS.contains(&host) => (1, 0, 30.0),
         _ => (0, 1, 4.0),
     };
     let mark = 0x9e37_79b9 * (host as u64 + 1);
-    Entry {
+    HostEntry {
         host,
-        mark,
-        standing: Standing::On,
+        id_hash: mark,
+        status: HostStatus::Active,
         start: Start::default(),
         zone,
         cell: 0,
         kind,
-        units,
-        held_back: 0.0,
+        weight: units,
+        withheld_fraction: 0.0,
     }
 }
 
@@ -89,37 +89,40 @@
     }
 }
 
-impl Dispatch for Trace {
-    fn forward(&mut self, get: Place, f: &Forward) {
+impl DecisionSink for Trace {
+    fn forward(&mut self, get: GetIndex, f: &Forward) {
         self.last = Some(*f);
         self.sent.push(f.host);
         let (host, source) = (name(f.host), name(f.source));
         let age = if f.accepted_age.is_zero() { "any age".into() } else { format!("{:?}", f.accepted_age) };
         let renew = if f.renew { ", renew" } else { "" };
-        let held = if f.held_only { " if it holds it" } else { "" };
-        self.line(format_args!("GET {get} to {host}, from {source}{held}, rank {}, {age}{renew}", f.keep));
+        let held = if f.only_if_cached { " if it holds it" } else { "" };
+        self.line(format_args!(
+            "GET {get} to {host}, from {source}{held}, rank {}, {age}{renew}",
+            f.retention_rank
+        ));
     }
 
-    fn withdraw(&mut self, get: Place, hop: u32) {
+    fn withdraw(&mut self, get: GetIndex, hop: u32) {
         self.line(format_args!("GET {get} withdrawn, forward {hop}"));
     }
 
-    fn shed(&mut self, get: Place, retry_after: Option<Duration>) {
+    fn shed(&mut self, get: GetIndex, retry_after: Option<Duration>) {
         let told = if retry_after.is_some() { "with" } else { "without" };
         self.line(format_args!("GET {get} shed, {told} a time to come back"));
     }
 
-    fn error(&mut self, get: Place) {
+    fn error(&mut self, get: GetIndex) {
         self.line(format_args!("GET {get} errored"));
     }
 
-    fn settled(&mut self, get: Place) {
+    fn release(&mut self, get: GetIndex) {
         self.line(format_args!("GET {get} settled"));
     }
 
-    fn wake(&mut self, _after: Duration) {}
+    fn schedule_wakeup(&mut self, _after: Duration) {}
 
-    fn follow_list(&mut self) {
+    fn subscribe_host_list(&mut self) {
         self.line(format_args!("follow the list"));
     }
 
@@ -139,7 +142,7 @@
     pub fn new(settings: Value) -> Self {
         let router = Router::new(settings.as_object().unwrap(), 7).unwrap();
         let mut day = Self { router, trace: Trace::default(), now: ms(100_000) };
-        day.list(ListKind::Kept, &(0..6).map(entry).collect::<Vec<_>>());
+        day.list(ListUpdate::Persisted, &(0..6).map(entry).collect::<Vec<_>>());
         day
     }
 
@@ -148,32 +151,40 @@
         self.router.round(self.now, &mut self.trace, said);
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: &[Entry]) {
-        self.round(|round| round.listed(kind, entries));
+    pub fn list(&mut self, kind: ListUpdate, entries: &[HostEntry]) {
+        self.round(|round| round.on_host_list(kind, entries));
     }
 
     /// Takes a GET of 100 ms sending time; it gets the place that is free.
-    pub fn take(&mut self, ds: usize, object: u64) -> Place {
+    pub fn take(&mut self, ds: usize, object: u64) -> GetIndex {
         let mut place = 0;
         let get = Get { ds, object, size_kb: 1000.0, viewer_timeout: ms(5000), ..Get::default() };
         self.round(|round| {
-            place = round.next_place();
-            round.take(get);
+            place = round.next_get_index();
+            round.on_get(get);
         });
         place
     }
 
-    pub fn end(&mut self, place: Place, hop: u32, end: End, note: Note, spent: u64) {
+    pub fn end(&mut self, place: GetIndex, hop: u32, end: End, note: Note, spent: u64) {
         let closed = end == End::Returned;
         let waited = if note == Note::Hit { 0 } else { spent.saturating_sub(100) };
         let (spent, source_wait) = (ms(spent), ms(waited));
-        let o = Outcome { hop, end, spent, closed, note, source_wait, load: Load::default() };
-        self.round(|round| round.outcome(place, &o));
+        let o = Outcome {
+            attempt: hop,
+            end,
+            elapsed: spent,
+            is_answered: closed,
+            note,
+            source_wait,
+            load: LoadReport::default(),
+        };
+        self.round(|round| round.on_outcome(place, &o));
     }
 
     pub fn after(&mut self, by: u64) {
         self.now += ms(by);
-        self.round(|round| round.woken());
+        self.round(|round| round.on_wakeup());
     }
 }
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -47,13 +47,13 @@
 #[test]
 fn no_copy_older_than_a_purge_of_the_object_or_its_group() {
     let mut day = Day::new(settings());
-    day.round(|round| round.purged(Purged::Object(1), ms(0)));
+    day.round(|round| round.on_purge(PurgeKey::Object(1), ms(0)));
     day.trace.say("just purged: a tiny limit, for zero would mean any age");
     day.take(0, 1);
     day.take(0, 2);
     day.after(1000);
     day.take(0, 1);
-    day.round(|round| round.purged(Purged::Group(0), ms(80)));
+    day.round(|round| round.on_purge(PurgeKey::Group(0), ms(80)));
     day.trace.say("the whole group, told 80 ms late");
     day.take(1, 2);
     day.after(7000);
@@ -65,15 +65,18 @@
 #[test]
 fn nothing_goes_to_draining_or_gone_hosts_nor_from_them() {
     let mut day = Day::new(settings());
-    let draining = Entry { standing: Standing::Draining, ..entry(0) };
-    day.list(ListKind::Changes, &[draining, Entry { standing: Standing::Gone, ..entry(PARENTS[0]) }]);
+    let draining = HostEntry { status: HostStatus::Draining, ..entry(0) };
+    day.list(
+        ListUpdate::Changes,
+        &[draining, HostEntry { status: HostStatus::Removed, ..entry(PARENTS[0]) }],
+    );
     for object in 0..12 {
         day.take(0, object);
     }
     assert!(!day.trace.sent.contains(&0) && !day.trace.lines.contains("parent 3"));
     day.trace = Default::default();
     day.trace.say("a whole list without cache 1 and without parents");
-    day.list(ListKind::Whole, &[entry(0), entry(2), entry(ORIGIN)]);
+    day.list(ListUpdate::Full, &[entry(0), entry(2), entry(ORIGIN)]);
     for object in 100..104 {
         let get = day.take(0, object);
         day.end(get, 0, End::Returned, Note::Filled, 110);
@@ -124,7 +127,7 @@
     let mut day = after_late_fills(Note::Filled, 420);
     let get = Get { ds: 0, object: 100, size_kb: 4000.0, viewer_timeout: ms(5000), ..Get::default() };
     day.trace.say("fills of 100 ms sending waited 320 ms; one of 400 ms has time for that");
-    day.round(|round| round.take(get));
+    day.round(|round| round.on_get(get));
     assert_snapshot!(day.trace.lines);
 }
 
@@ -156,8 +159,8 @@
             let get = Get { ds: 0, object: object % 40, viewer_timeout: ms(5000), ..Get::default() };
             let mut place = 0;
             day.round(|round| {
-                place = round.next_place();
-                round.take(get);
+                place = round.next_get_index();
+                round.on_get(get);
             });
             let host = day.trace.last.unwrap().host;
             at_first += u32::from(host == CACHES[0] && (20..120).contains(&object));
@@ -175,7 +178,7 @@
     let mut day = Day::new(settings());
     for object in 0..40 {
         let get = day.take(0, object);
-        day.round(|round| round.abandoned(get));
+        day.round(|round| round.on_abandoned(get));
         day.end(get, 0, End::Withdrawn, Note::Untold, 5);
         day.after(300);
     }
@@ -191,8 +194,8 @@
     let get = day.take(3, 1);
     day.end(get, 0, End::Reset, Note::Untold, 20);
     day.trace.say("its own location has no other cache left: parents are outside the group");
-    let gone = CACHES.map(|host| Entry { standing: Standing::Gone, ..entry(host) });
-    day.list(ListKind::Changes, &gone);
+    let gone = CACHES.map(|host| HostEntry { status: HostStatus::Removed, ..entry(host) });
+    day.list(ListUpdate::Changes, &gone);
     day.end(get, 1, End::Reset, Note::Untold, 20);
     assert_snapshot!(day.trace.lines);
 }
@@ -200,8 +203,8 @@
 /// Work that 200 different objects ask of a host within the time in which a cold one falls over, s of sending.
 fn work_to(started: [HostIndex; 2], host: HostIndex) -> (f64, f64) {
     let mut day = Day::new(settings());
-    let fresh = started.map(|host| Entry { start: Start::At(day.now), ..entry(host) });
-    day.list(ListKind::Changes, &fresh);
+    let fresh = started.map(|host| HostEntry { start: Start::At(day.now), ..entry(host) });
+    day.list(ListUpdate::Changes, &fresh);
     let (mut sent, mut filled) = (0.0, 0.0);
     for object in 0..200 {
         day.now += ms(5);
@@ -229,7 +232,7 @@
 fn a_cold_cache_that_turns_gets_away_is_rested() {
     let mut day = Day::new(settings());
     let started = day.now - ms(10_000);
-    day.list(ListKind::Changes, &[Entry { start: Start::At(started), ..entry(0) }]);
+    day.list(ListUpdate::Changes, &[HostEntry { start: Start::At(started), ..entry(0) }]);
     let mut full = 0;
     for object in 0..60 {
         let get = day.take(0, object);
@@ -297,19 +300,19 @@
     let mut day = Day::new(settings());
     let get = day.take(0, 1);
     let o = Outcome {
-        hop: 0,
+        attempt: 0,
         end: End::Errored,
-        spent: ms(5),
-        closed: false,
+        elapsed: ms(5),
+        is_answered: false,
         note: Note::Untold,
         source_wait: ms(0),
-        load: Load::default(),
+        load: LoadReport::default(),
     };
     day.trace.say("abandoned and an outcome in one round, then a late outcome for the place");
     day.round(|round| {
-        round.abandoned(get);
-        round.outcome(get, &o);
-        round.abandoned(get)
+        round.on_abandoned(get);
+        round.on_outcome(get, &o);
+        round.on_abandoned(get)
     });
     let again = day.take(0, 2);
     day.end(again, 7, End::Returned, Note::Hit, 5);
@@ -325,7 +328,7 @@
     let mut day = Day::new(settings());
     let big = Get { ds: 0, object: 1, size_kb: 8000.0, viewer_timeout: ms(5000), ..Get::default() };
     for part in 0..6 {
-        day.round(|round| round.take(Get { part, ..big }));
+        day.round(|round| round.on_get(Get { part, ..big }));
     }
     day.trace.say("small ones are still in time there");
     day.take(1, 1);
@@ -337,12 +340,12 @@
     let mut day = Day::new(settings());
     let part = |part, object| Get { ds: 0, object, part, viewer_timeout: ms(5000), ..Get::default() };
     for object in [1, 2] {
-        day.round(|round| round.take(part(0, object)));
+        day.round(|round| round.on_get(part(0, object)));
         day.end(0, 0, End::Returned, Note::Hit, if object == 1 { 1500 } else { 50 });
     }
     for object in [1, 2] {
         day.trace.say(&format!("parts of object {object} at once"));
-        (1..6).for_each(|next| day.round(|round| round.take(part(next, object))));
+        (1..6).for_each(|next| day.round(|round| round.on_get(part(next, object))));
     }
     assert_snapshot!(day.trace.lines);
 }
@@ -373,7 +376,7 @@
             day.end(hit, 0, End::Returned, Note::Hit, 100);
         }
         day.now += ms(2400);
-        day.round(|round| round.abandoned(get));
+        day.round(|round| round.on_abandoned(get));
         day.end(get, 0, if hangs { End::Withdrawn } else { End::Returned }, Note::Filled, 2500);
     }
     day.trace = Default::default();
@@ -389,7 +392,7 @@
 fn a_preempted_cache_its_death_and_its_cold_replacement() {
     let mut day = Day::new(settings());
     day.trace.say("listed as draining");
-    day.list(ListKind::Changes, &[Entry { standing: Standing::Draining, ..entry(0) }]);
+    day.list(ListUpdate::Changes, &[HostEntry { status: HostStatus::Draining, ..entry(0) }]);
     let to = |day: &mut Day, host| {
         let before = day.trace.sent.iter().filter(|&&h| h == host).count();
         for object in 0..60 {
@@ -399,9 +402,11 @@
         day.trace.sent.iter().filter(|&&h| h == host).count() - before
     };
     assert_eq!(to(&mut day, 0), 0);
-    let (gone, new) =
-        (Entry { standing: Standing::Gone, ..entry(0) }, Entry { zone: 1, kind: 0, units: 4.0, ..entry(6) });
-    day.list(ListKind::Changes, &[gone, Entry { start: Start::At(day.now), ..new }]);
+    let (gone, new) = (
+        HostEntry { status: HostStatus::Removed, ..entry(0) },
+        HostEntry { zone: 1, kind: 0, weight: 4.0, ..entry(6) },
+    );
+    day.list(ListUpdate::Changes, &[gone, HostEntry { start: Start::At(day.now), ..new }]);
     let cold = to(&mut day, 6);
     day.after(18_000);
     let warm = to(&mut day, 6);
@@ -466,12 +471,12 @@
     let told = faults.map(|(name, value)| format!("{name} {value}: {}", fault(name, value.clone())));
     let mut day = Day::new(settings());
     day.trace.say("an emptied list, then one in reverse order");
-    day.list(ListKind::Whole, &[]);
+    day.list(ListUpdate::Full, &[]);
     day.take(0, 1);
-    day.list(ListKind::Whole, &(0..6).rev().map(entry).collect::<Vec<_>>());
+    day.list(ListUpdate::Full, &(0..6).rev().map(entry).collect::<Vec<_>>());
     day.take(0, 1);
     day.trace.say("without parents the origin fills, with one cache it gets all");
-    day.list(ListKind::Whole, &[entry(1), entry(ORIGIN)]);
+    day.list(ListUpdate::Full, &[entry(1), entry(ORIGIN)]);
     day.take(0, 1);
     assert_snapshot!(told.join("\n") + "\n" + &day.trace.lines);
 }
@@ -479,8 +484,9 @@
 #[test]
 fn a_location_of_many_caches_leaves_none_out() {
     let mut day = Day::new(settings());
-    let many: Vec<_> = (6..206).map(|host| Entry { zone: 1, kind: 0, units: 4.0, ..entry(host) }).collect();
-    day.list(ListKind::Changes, &many);
+    let many: Vec<_> =
+        (6..206).map(|host| HostEntry { zone: 1, kind: 0, weight: 4.0, ..entry(host) }).collect();
+    day.list(ListUpdate::Changes, &many);
     for object in 0..4000 {
         let get = day.take(1, object);
         day.end(get, 0, End::Returned, Note::Hit, 50);
--- a/tests/host_life.rs
+++ b/tests/host_life.rs
@@ -1,7 +1,8 @@
 //! When a host counts as started, whatever the wall clocks of machines say and however old the list is.
 
 use myrtlegauge::host_life::{
-    Began, EndEvidence, Heard, HostLife, Known, LONGEST_CLOCK_STEP, is_to_new_process,
+    EndEvidence, HostLifecycle, ListingContext, MAX_CLOCK_STEP, ProcessStart, TimeReference,
+    is_to_new_process,
 };
 use myrtlegauge::interface::{Start, StartClaim};
 use std::time::Duration;
@@ -17,54 +18,60 @@
 }
 
 fn claim(stamp: u64, age: Duration) -> Start {
-    Start::Claimed(StartClaim { stamp, age })
+    Start::Claimed(StartClaim { unix_ms: stamp, age })
 }
 
 /// What is known where no stamp bears out another clock.
-fn list_known(until: Duration) -> Known {
-    Known { list: until, unix_offset: ZERO }
+fn list_known(until: Duration) -> TimeReference {
+    TimeReference { list_known_until: until, unix_offset: ZERO }
 }
 
 /// A start that this router was there for.
-fn at(at: Duration, age: Duration) -> Began {
-    Began { at, age, is_from_first_list: false }
+fn at(at: Duration, age: Duration) -> ProcessStart {
+    ProcessStart { at, age, is_from_initial_list: false }
 }
 
-fn began(life: &HostLife, known_until: Duration, now: Duration) -> Began {
-    life.began(ZERO, &list_known(known_until), now)
+fn began(life: &HostLifecycle, known_until: Duration, now: Duration) -> ProcessStart {
+    life.process_start(ZERO, &list_known(known_until), now)
 }
 
 #[test]
 fn a_start_that_is_heard_of_counts_from_then_whatever_its_stamp_claims() {
     for age in [ZERO, seconds(5), seconds(30), seconds(7200)] {
-        let mut life = HostLife::default();
-        assert!(!life.on_listed(claim(0, NOW), Heard::AtStart, seconds(100)), "it was there from the start");
-        assert!(life.on_listed(claim(77, age), Heard::Again, NOW));
+        let mut life = HostLifecycle::default();
+        assert!(
+            !life.on_listed(claim(0, NOW), ListingContext::InitialList, seconds(100)),
+            "it was there from the start"
+        );
+        assert!(life.on_listed(claim(77, age), ListingContext::KnownHost, NOW));
         assert_eq!(began(&life, LIST_FRESH, NOW + seconds(3)), at(NOW, seconds(3)));
     }
 }
 
 #[test]
 fn a_host_met_for_the_first_time_is_warm_only_if_no_clock_step_explains_its_age() {
-    for (age, at) in [(seconds(2), NOW), (seconds(7200), NOW), (LONGEST_CLOCK_STEP + seconds(1), ZERO)] {
-        let mut life = HostLife::default();
-        life.on_listed(claim(77, age), Heard::AtStart, NOW);
+    for (age, at) in [(seconds(2), NOW), (seconds(7200), NOW), (MAX_CLOCK_STEP + seconds(1), ZERO)] {
+        let mut life = HostLifecycle::default();
+        life.on_listed(claim(77, age), ListingContext::InitialList, NOW);
         assert_eq!(began(&life, LIST_FRESH, NOW).at, at, "claimed to be {age:?} old");
     }
 }
 
 #[test]
 fn a_stamp_that_is_known_starts_nothing_anew_and_one_that_goes_back_does() {
-    let mut life = HostLife::default();
-    life.on_listed(claim(77, ZERO), Heard::Again, NOW);
-    assert!(!life.on_listed(claim(77, seconds(9)), Heard::Again, NOW + seconds(4)), "a line told again");
+    let mut life = HostLifecycle::default();
+    life.on_listed(claim(77, ZERO), ListingContext::KnownHost, NOW);
     assert!(
-        !life.on_listed(claim(0, ZERO), Heard::Again, NOW + seconds(4)),
+        !life.on_listed(claim(77, seconds(9)), ListingContext::KnownHost, NOW + seconds(4)),
+        "a line told again"
+    );
+    assert!(
+        !life.on_listed(claim(0, ZERO), ListingContext::KnownHost, NOW + seconds(4)),
         "a line that tells of no late start"
     );
     assert_eq!(began(&life, LIST_FRESH, NOW + seconds(4)).age, seconds(4));
     assert!(
-        life.on_listed(claim(50, seconds(40)), Heard::Again, NOW + seconds(5)),
+        life.on_listed(claim(50, seconds(40)), ListingContext::KnownHost, NOW + seconds(5)),
         "its writer's clock was stepped back"
     );
     assert_eq!(began(&life, LIST_FRESH, NOW + seconds(5)).age, ZERO);
@@ -72,7 +79,7 @@
 
 #[test]
 fn a_process_that_answers_after_another_ended_is_new_until_the_list_is_known_past_that() {
-    let mut life = HostLife::default();
+    let mut life = HostLifecycle::default();
     life.on_ended(NOW, EndEvidence::DialRefused);
     let list_known = NOW - seconds(1);
     assert_eq!(began(&life, list_known, NOW + seconds(1)), at(NOW, ZERO), "nothing is there yet");
@@ -86,7 +93,7 @@
 
 #[test]
 fn an_end_is_forgotten_once_the_list_is_known_well_past_it() {
-    let mut life = HostLife::default();
+    let mut life = HostLifecycle::default();
     life.on_ended(NOW, EndEvidence::DialRefused);
     assert_eq!(began(&life, NOW + seconds(1), NOW + seconds(1)).at, NOW);
     assert_eq!(began(&life, NOW + seconds(3), NOW + seconds(3)).at, ZERO);
@@ -94,13 +101,13 @@
 
 #[test]
 fn a_start_that_is_heard_of_late_was_before_the_connection_that_has_been_up_since() {
-    let mut life = HostLife::default();
+    let mut life = HostLifecycle::default();
     life.on_ended(NOW, EndEvidence::DialRefused);
     life.on_connected(NOW + seconds(1));
-    assert!(life.on_listed(claim(77, seconds(11)), Heard::Again, NOW + seconds(12)));
+    assert!(life.on_listed(claim(77, seconds(11)), ListingContext::KnownHost, NOW + seconds(12)));
     let list_known = NOW + seconds(12);
     assert_eq!(began(&life, list_known, NOW + seconds(12)), at(NOW + seconds(1), seconds(11)));
-    assert!(life.on_listed(claim(78, ZERO), Heard::Again, NOW + seconds(13)), "and once more");
+    assert!(life.on_listed(claim(78, ZERO), ListingContext::KnownHost, NOW + seconds(13)), "and once more");
     assert_eq!(
         began(&life, list_known, NOW + seconds(13)).age,
         ZERO,
@@ -110,7 +117,7 @@
 
 #[test]
 fn a_connection_alone_tells_of_no_start() {
-    let mut life = HostLife::default();
+    let mut life = HostLifecycle::default();
     life.on_connected(NOW);
     assert_eq!(began(&life, ZERO, NOW).at, ZERO);
 }
@@ -124,26 +131,26 @@
     for (unix, age) in
         [(UNIX, seconds(40)), (STAMP + seconds(2), seconds(2)), (STAMP, ZERO), (STAMP - seconds(30), ZERO)]
     {
-        let known = Known { list: NOW, unix_offset: unix - NOW };
-        let mut life = HostLife::default();
-        life.on_listed(claim(STAMP.as_millis() as u64, seconds(7200)), Heard::AtStart, NOW);
-        assert_eq!(life.began(ZERO, &known, NOW).age, age, "Unix time is {unix:?} at least");
+        let known = TimeReference { list_known_until: NOW, unix_offset: unix - NOW };
+        let mut life = HostLifecycle::default();
+        life.on_listed(claim(STAMP.as_millis() as u64, seconds(7200)), ListingContext::InitialList, NOW);
+        assert_eq!(life.process_start(ZERO, &known, NOW).age, age, "Unix time is {unix:?} at least");
     }
 }
 
 #[test]
 fn a_start_that_is_heard_of_while_running_is_believed_of_no_clock() {
-    let known = Known { list: NOW, unix_offset: UNIX - NOW };
-    for heard in [Heard::First, Heard::Again] {
-        let mut life = HostLife::default();
+    let known = TimeReference { list_known_until: NOW, unix_offset: UNIX - NOW };
+    for heard in [ListingContext::NewHost, ListingContext::KnownHost] {
+        let mut life = HostLifecycle::default();
         life.on_listed(claim(STAMP.as_millis() as u64, seconds(40)), heard, NOW);
-        assert_eq!(life.began(ZERO, &known, NOW).age, ZERO);
+        assert_eq!(life.process_start(ZERO, &known, NOW).age, ZERO);
     }
 }
 
 #[test]
 fn the_end_of_connections_tells_of_a_new_process_only_while_the_list_is_old() {
-    let mut life = HostLife::default();
+    let mut life = HostLifecycle::default();
     life.on_ended(NOW, EndEvidence::ConnectionsEnded);
     life.on_connected(NOW + seconds(1));
     assert_eq!(began(&life, NOW, NOW + seconds(2)).at, ZERO, "the list is two seconds old");
@@ -153,8 +160,8 @@
 
 #[test]
 fn what_a_router_that_did_not_run_has_not_seen_counts_until_the_list_is_heard_again() {
-    let mut life = HostLife::default();
-    life.on_ended(NOW, EndEvidence::Unseen);
+    let mut life = HostLifecycle::default();
+    life.on_ended(NOW, EndEvidence::Unobserved);
     let woken = NOW + seconds(4);
     assert_eq!(began(&life, NOW, woken).age, ZERO);
     assert_eq!(began(&life, woken, woken).at, ZERO);
--- a/tests/ring.rs
+++ b/tests/ring.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{Day, settings};
-use myrtlegauge::decide::MOST_HOSTS;
+use myrtlegauge::decide::MAX_WALKED_HOSTS;
 use myrtlegauge::interface::*;
-use myrtlegauge::reading::{Map, Tier, key};
-use myrtlegauge::{Member, Ring, Walked};
+use myrtlegauge::snapshot::{RoutingTable, Tier, ring_key};
+use myrtlegauge::{Ring, RingMember, WalkCost};
 use myrtlegauge_recovery::bits::mix;
 use proptest::prelude::*;
 use serde_json::json;
@@ -27,17 +27,17 @@
 /// Outcomes by which a host is judged.
 const FAILURES: usize = 4;
 
-fn member() -> impl Strategy<Value = Member> {
+fn member() -> impl Strategy<Value = RingMember> {
     // Points are uneven, and a host may have none.
-    (any::<u64>(), 0..40u64, any::<bool>()).prop_map(|(mark, points, near)| Member {
+    (any::<u64>(), 0..40u64, any::<bool>()).prop_map(|(mark, points, near)| RingMember {
         host: 0,
-        mark,
+        id_hash: mark,
         points,
-        near,
+        is_near: near,
     })
 }
 
-fn fleet(most: usize) -> impl Strategy<Value = Vec<Member>> {
+fn fleet(most: usize) -> impl Strategy<Value = Vec<RingMember>> {
     prop::collection::vec(member(), 0..most).prop_map(|mut members| {
         members.iter_mut().enumerate().for_each(|(host, member)| member.host = host);
         members
@@ -45,10 +45,10 @@
 }
 
 /// The members of one half in the order in which they follow `key`, by all their points.
-fn naive_walk(members: &[Member], key: u64, near: bool) -> Vec<HostIndex> {
-    let half = members.iter().filter(|member| member.near == near);
+fn naive_walk(members: &[RingMember], key: u64, near: bool) -> Vec<HostIndex> {
+    let half = members.iter().filter(|member| member.is_near == near);
     let mut points: Vec<_> =
-        half.flat_map(|m| (0..m.points).map(|i| (mix(m.mark ^ mix(i)), m.host))).collect();
+        half.flat_map(|m| (0..m.points).map(|i| (mix(m.id_hash ^ mix(i)), m.host))).collect();
     points.sort_unstable();
     let start = points.partition_point(|&(at, _)| at < key);
     points = [&points[start..], &points[..start]].concat();
@@ -61,11 +61,11 @@
 
     #[test]
     fn a_walk_meets_distinct_members_in_the_order_of_their_points(members in fleet(300), key in any::<u64>()) {
-        let ring = Ring::lay(members.iter().copied());
+        let ring = Ring::build(members.iter().copied());
         for near in [true, false] {
-            let walked: Vec<_> = ring.walk::<MOST_HOSTS>(key, near).collect();
+            let walked: Vec<_> = ring.walk::<MAX_WALKED_HOSTS>(key, near).collect();
             let mut naive = naive_walk(&members, key, near);
-            naive.truncate(MOST_HOSTS);
+            naive.truncate(MAX_WALKED_HOSTS);
             prop_assert_eq!(walked, naive);
         }
     }
@@ -74,18 +74,22 @@
 #[test]
 fn a_walk_ends_at_its_bound_or_with_the_last_member() {
     for hosts in FLEETS {
-        let members =
-            (0..hosts).map(|host| Member { host, mark: mark(&format!("{host}")), points: 96, near: true });
-        let ring = Ring::lay(members);
+        let members = (0..hosts).map(|host| RingMember {
+            host,
+            id_hash: hash_host_id(&format!("{host}")),
+            points: 96,
+            is_near: true,
+        });
+        let ring = Ring::build(members);
         for request in 0..REQUESTS {
-            let before = ring.walked();
-            let walked: Vec<_> = ring.walk::<MOST_HOSTS>(mix(request), true).collect();
+            let before = ring.walk_cost();
+            let walked: Vec<_> = ring.walk::<MAX_WALKED_HOSTS>(mix(request), true).collect();
             let distinct: BTreeSet<_> = walked.iter().collect();
             assert_eq!(distinct.len(), walked.len(), "a host twice, of {hosts}");
-            assert_eq!(walked.len(), hosts.min(MOST_HOSTS), "of {hosts}");
-            let points = ring.walked().points - before.points;
-            assert!(points <= POINTS_A_HOST * MOST_HOSTS as u64, "{points} points, of {hosts} hosts");
-            assert_eq!(ring.walk::<MOST_HOSTS>(mix(request), false).count(), 0);
+            assert_eq!(walked.len(), hosts.min(MAX_WALKED_HOSTS), "of {hosts}");
+            let points = ring.walk_cost().points - before.points;
+            assert!(points <= POINTS_A_HOST * MAX_WALKED_HOSTS as u64, "{points} points, of {hosts} hosts");
+            assert_eq!(ring.walk::<MAX_WALKED_HOSTS>(mix(request), false).count(), 0);
         }
     }
 }
@@ -121,13 +125,21 @@
             host if host < 2 * hosts => (1, host % HUBS),
             _ => (2, 0),
         };
-        let mark = mark(&format!("host {host}"));
-        Entry { host, mark, standing: Standing::On, zone, kind, units: 30.0, ..Entry::default() }
+        let mark = hash_host_id(&format!("host {host}"));
+        HostEntry {
+            host,
+            id_hash: mark,
+            status: HostStatus::Active,
+            zone,
+            kind,
+            weight: 30.0,
+            ..HostEntry::default()
+        }
     };
-    day.list(ListKind::Whole, &(0..=2 * hosts).map(entry).collect::<Vec<_>>());
+    day.list(ListUpdate::Full, &(0..=2 * hosts).map(entry).collect::<Vec<_>>());
     day.round(|round| {
         for host in (0..=2 * hosts).filter(|&host| failed.holds(host)) {
-            (0..FAILURES).for_each(|_| round.reported(host, false));
+            (0..FAILURES).for_each(|_| round.on_host_report(host, false));
         }
     });
     day
@@ -142,8 +154,8 @@
     Some(forward)
 }
 
-fn since(now: Walked, before: Walked) -> Walked {
-    Walked { hosts: now.hosts - before.hosts, points: now.points - before.points }
+fn since(now: WalkCost, before: WalkCost) -> WalkCost {
+    WalkCost { hosts: now.hosts - before.hosts, points: now.points - before.points }
 }
 
 #[test]
@@ -152,12 +164,12 @@
         for failed in [Failed::None, Failed::Half, Failed::All] {
             let mut day = location(hosts, failed);
             for object in 0..REQUESTS {
-                let before = day.router.walked();
+                let before = day.router.walk_costs();
                 let forward = request(&mut day, object);
-                let [caches, parents] = day.router.walked();
+                let [caches, parents] = day.router.walk_costs();
                 let case = format!("{hosts} caches, {failed:?} failed, object {object}");
-                let within = |cost: Walked, walks: u64| {
-                    let most = if failed == Failed::None { 1 } else { MOST_HOSTS.min(hosts) as u64 };
+                let within = |cost: WalkCost, walks: u64| {
+                    let most = if failed == Failed::None { 1 } else { MAX_WALKED_HOSTS.min(hosts) as u64 };
                     assert!(cost.hosts <= walks * most, "{cost:?} in {case}");
                     assert!(cost.points <= walks * most * POINTS_A_HOST, "{cost:?} in {case}");
                 };
@@ -190,11 +202,11 @@
     for hosts in FLEETS {
         for failed in [Failed::None, Failed::Half, Failed::All] {
             let mut day = location(hosts, failed);
-            let reading = day.router.reading(day.now);
-            let (caches, parents) = (Tier::lay(reading.caches), Tier::lay(reading.parents));
-            let map = Map { caches, parents, ..Map::default() };
+            let reading = day.router.routing_snapshot(day.now);
+            let (caches, parents) = (Tier::build(reading.caches), Tier::build(reading.parents));
+            let map = RoutingTable { caches, parents, ..RoutingTable::default() };
             for object in 0..REQUESTS {
-                let key = key(object, 0);
+                let key = ring_key(object, 0);
                 let chosen = map.cache(key, None).map(|share| share.host);
                 let source = map.source(key, None, |_| true);
                 let Forward { host, source: from, .. } = request(&mut day, object).unwrap();
