--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,6 +1,6 @@
 //! All decisions of a router. `Router::new` reads the settings; `Router::round(now, &mut out, |round| …)` is
 //! called once for all that came in, and the closure makes one plain call per message on `Round`. Decisions
-//! go into `out`. Types and the writer trait `Dispatch` stand in `interface.rs`. Times are since the start.
+//! go into `out`. Types and the trait `DecisionSink` are defined in `interface.rs`. Times are since the start.
 //! The design: a consistent-hash ring names cache and parent; a windowed count of origin fills sets `busy`;
 //! busy doubles the accepted age of a delivery service at each miss, up to its upper bound; idle rejects
 //! stale copies and lets fresh hits be renewed. Beside it stand six mechanisms:
@@ -257,7 +257,7 @@
         told
     }
 
-    /// Forwards that are out at a host, by these books.
+    /// Number of forwards in flight to a host, as counted here.
     pub fn in_flight_at(&self, host: HostIndex) -> f64 {
         self.hosts.get(host).map_or(0.0, |h| h.link.in_flight)
     }
@@ -309,7 +309,7 @@
         if self.is_parent(entry) { &self.site.parent_slow_start } else { &self.site.cache_slow_start }
     }
 
-    /// Share of its full work that a host which started lately may get; none of a warm one.
+    /// Fraction of its full work that a recently started host may get; `None` for a warm host.
     pub(crate) fn slow_start_fraction(&self, host: HostIndex, now: Duration) -> Option<f64> {
         let (entry, began) = (&self.hosts[host].entry, self.hosts[host].process_start(&self.known, now));
         let start = self.slow_start_settings(entry);
@@ -378,17 +378,17 @@
         holds
     }
 
-    /// What hosts in slow start got over this router's share: zero, unless its limit is missing.
+    /// Number of times that a host in slow start got more than this router's share. Zero unless the limit is disabled.
     pub fn slow_start_violations(&self) -> u64 {
         self.slow_start_violations
     }
 
-    /// Leaves the limit out, for a test to see its check fire.
+    /// Disables the limit, so that a test can see its check fail.
     pub fn disable_slow_start_limit(&mut self) {
         self.limits_slow_start = false;
     }
 
-    /// Leaves out what keeps an effect from being run twice, for a test to see its check fire.
+    /// Disables the guard against running an effect twice, so that a test can see its check fail.
     pub fn disable_repeat_guard(&mut self) {
         self.guards_repeats = false;
     }
@@ -543,6 +543,7 @@
     }
 }
 
+/// One round of inputs to a router. Each input is one method call.
 pub struct Round<'a, D: DecisionSink> {
     pub(crate) router: &'a mut Router,
     out: &'a mut D,
@@ -550,16 +551,17 @@
 }
 
 impl<D: DecisionSink> Round<'_, D> {
-    /// The writer, for the adapter's own books.
+    /// The sink, for the adapter's own state.
     pub fn sink(&mut self) -> &mut D {
         self.out
     }
 
-    /// The place that the next GET taken will have.
+    /// The index that the next GET will have.
     pub fn next_get_index(&self) -> GetIndex {
         self.router.gets.vacant_key()
     }
 
+    /// Takes a GET and decides on it.
     pub fn on_get(&mut self, get: Get) {
         let r = &mut *self.router;
         let Some(learnt) = r.service_stats.get_mut(get.ds) else {
@@ -719,13 +721,14 @@
         }
     }
 
+    /// The client has gone or no longer waits for this GET.
     pub fn on_abandoned(&mut self, place: GetIndex) {
         let Some(g) = self.router.gets.get_mut(place) else { return };
         g.is_answered = true;
         self.free(place);
     }
 
-    /// Its router's end is near: it is answered now, and what is out may run.
+    /// Answers the GET now, since the router is about to exit. A forward in flight may still run.
     pub fn answer_now(&mut self, place: GetIndex) {
         let Some(g) = self.router.gets.get_mut(place).filter(|g| !g.is_answered) else { return };
         g.may_have_run =
@@ -733,6 +736,7 @@
         self.give_up(place);
     }
 
+    /// Takes the outcome of a forward, and decides again on a GET that has no final answer.
     pub fn on_outcome(&mut self, place: GetIndex, o: &Outcome) {
         let Some(g) = self.router.gets.get_mut(place) else { return };
         let Some(sent) = g.current_forward.take_if(|s| s.attempt == o.attempt) else { return };
@@ -887,12 +891,13 @@
         r.missed(get.ds, u32::from(!hit));
     }
 
-    /// What followers, or a late connection, tell of a host, as one outcome; of it no more than its own last few count.
+    /// Records one outcome of a host that followers or a late connection report. Only the host's last few outcomes count.
     pub fn on_host_report(&mut self, host: HostIndex, success: bool) {
         self.router.hosts.get_mut(host).into_iter().for_each(|h| h.judge(self.now, success));
     }
 
-    /// What followers told of a service's fills from one source: all, the late or failed among them, and those out.
+    /// Records what followers report about a service's fills from one source: all fills, the late or failed ones among them,
+    /// and those in flight.
     pub fn on_fill_report(&mut self, ds: usize, source: HostIndex, all: u32, bad: u32, out: u32) {
         let r = &mut *self.router;
         let Some(h) = r.hosts.get_mut(source).filter(|_| ds < r.services.len()) else { return };
@@ -904,12 +909,12 @@
         r.missed(ds, all);
     }
 
-    /// The list of hosts is known up to this moment: a start that the change log had by then was told.
+    /// The host list is known up to this time: every start that the change log had by then was received.
     pub fn on_list_known(&mut self, until: Duration) {
         self.router.known.list_known_until = self.router.known.list_known_until.max(until);
     }
 
-    /// By two clocks, Unix time is ahead of this router's own clock by at least this.
+    /// Unix time is ahead of this router's own clock by at least this, according to two clocks.
     pub fn on_unix_offset(&mut self, offset: Duration) {
         self.router.known.unix_offset = self.router.known.unix_offset.max(offset);
     }
@@ -924,6 +929,7 @@
         self.router.hosts.get_mut(host).into_iter().for_each(|h| h.lifecycle.on_connected(self.now));
     }
 
+    /// Takes an update of the host list.
     pub fn on_host_list<'e>(&mut self, kind: ListUpdate, entries: impl IntoIterator<Item = &'e HostEntry>) {
         let (r, mut laid) = (&mut *self.router, matches!(kind, ListUpdate::Full | ListUpdate::Persisted));
         if laid {
@@ -962,12 +968,13 @@
         }
     }
 
+    /// Records a purge that was issued `age` ago.
     pub fn on_purge(&mut self, named: PurgeKey, age: Duration) {
         let at = self.now.saturating_sub(age);
         self.router.purges.entry(named).and_modify(|known| *known = at.max(*known)).or_insert(at);
     }
 
-    /// Since when purges may have been missed; none: all are known.
+    /// Sets the time since which purges may have been missed; `None` if all are known.
     pub fn set_purges_unknown_since(&mut self, since: Option<Duration>) {
         self.router.doubted = since;
     }
@@ -983,7 +990,7 @@
         }
     }
 
-    /// The wake-up: purges that all have obeyed are forgotten, running means.
+    /// Handles the scheduled wake-up: drops purges that all caches have applied, and updates the running means.
     pub fn on_wakeup(&mut self) {
         let (now, r) = (self.now, &mut *self.router);
         r.waking = false;
--- a/src/host_life.rs
+++ b/src/host_life.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 const ZERO: Duration = Duration::ZERO;
-/// A wall clock may be stepped by so much. A start that is claimed to be longer ago than this, of a host met for the first
-/// time, was long ago, whatever other stamps say.
+/// Largest assumed step of a wall clock. For a host seen for the first time, a start claimed to be longer ago than this was
+/// long ago, whatever other stamps say.
 pub const MAX_CLOCK_STEP: Duration = Duration::from_secs(3 * 3600);
 /// The list is old if it was not known for so long: several polls were lost, or this process did not run. Connections are
 /// reset without a restart, too, so that their end alone tells nothing while the list is newer.
@@ -34,30 +34,31 @@
 /// A host's start as a line of the list claims it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartClaim {
-    /// Unix milliseconds by another machine's wall clock. Two starts of a host have two stamps; zero: it never started late.
+    /// Unix milliseconds on another machine's wall clock. Each start of a host has its own value; zero means that it never
+    /// started late.
     pub unix_ms: u64,
     /// How long ago that was by this machine's wall clock.
     pub age: Duration,
 }
 
-/// How a line of the list was heard.
+/// In which context an entry of the host list was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListingContext {
     /// In the list that this router's own process was started with.
     InitialList,
-    /// Of a host that was not known.
+    /// For a host that was not known before.
     NewHost,
-    /// Of a host that is known.
+    /// For a host that was known already.
     KnownHost,
 }
 
-/// What a router knows of the list and of time.
+/// How current the host list is, and how this router's clock relates to Unix time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TimeReference {
-    /// The list of hosts is known up to then.
+    /// The host list is known up to this time.
     pub list_known_until: Duration,
-    /// By two clocks, this machine's and that of others' newest stamp, Unix time is ahead of this router's own clock by at
-    /// least this; zero: nothing was heard.
+    /// Unix time is ahead of this router's own clock by at least this, according to two clocks: this machine's and the newest
+    /// stamp of other machines. Zero means that no stamp was received.
     pub unix_offset: Duration,
 }
 
@@ -68,22 +69,22 @@
     DialRefused,
     /// Its last connection ended, which a living process may have done.
     ConnectionsEnded,
-    /// This router did not run for a while, has no connection to it that was there before, and has not heard from the change
-    /// log since.
+    /// This router did not run for a while. It has no connection to the host left from before, and nothing from the change log
+    /// since.
     Unobserved,
 }
 
-/// Since when a host is in slow start, and for how long it has been up.
+/// Start of a host's process, from which its slow start is computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessStart {
-    /// Tells one slow start from another; zero: there was none.
+    /// Identifies one slow start; zero means that there was none.
     pub at: Duration,
     pub age: Duration,
-    /// It may have been before this router's own process.
+    /// The start may precede this router's own process.
     pub is_from_initial_list: bool,
 }
 
-/// What the list and connections tell of a host's process.
+/// Tracks the starts and ends of a host's process from the host list and from connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostLifecycle {
     /// The stamp of the start that the list last told of.
@@ -162,7 +163,7 @@
         self.listed.min(Duration::from_millis(self.stamp).saturating_sub(unix_offset))
     }
 
-    /// The latest start that the list or connections tell of, or one that was found out otherwise (`found`).
+    /// The latest start known from the host list, from connections, or from other evidence (`found`).
     pub fn process_start(&self, found: Duration, known: &TimeReference, now: Duration) -> ProcessStart {
         let known_start = self.listed_at(known.unix_offset).max(found);
         let suspected =
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,28 +1,28 @@
-//! What goes into the decision module and the writer that its decisions go to.
+//! The inputs of the decision module and the sink that takes its decisions.
 
 use std::time::Duration;
 
-/// Place of a GET in hand; reused once `Dispatch::settled` has named it.
+/// Index of a GET in flight. It may be reused once `DecisionSink::release` was called with it.
 pub type GetIndex = usize;
-/// Small index of a cache host, parent or origin, given where names are read.
+/// Small index of a cache host, parent or origin, assigned where host names are parsed.
 pub type HostIndex = usize;
 
 pub use crate::host_life::StartClaim;
 pub use crate::settings::Settings;
 
-/// A client's GET as it was taken.
+/// A client's GET as it was received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Get {
     pub ds: usize,
     pub object: u64,
     pub part: u32,
     pub group: u64,
-    /// Kilobytes to be sent; 0 where untold.
+    /// Size of the response in kilobytes; 0 if unknown.
     pub size_kb: f64,
     pub viewer_timeout: Duration,
-    /// Its client marked it as a try after the first.
+    /// The client marked this GET as a retry.
     pub is_retry: bool,
-    /// Of the part of keys that its fleet sheds, since what remains of its zones does not bear them.
+    /// The key is in the fraction that the fleet sheds because the remaining zones lack the capacity for it.
     pub in_shed_fraction: bool,
 }
 
@@ -38,19 +38,19 @@
     Reset,
     Withdrawn,
     NeverSent,
-    /// What came can't be used, or its connection went down by another's trouble: it may have run, and nothing is
-    /// told of the host, which lives.
+    /// The response cannot be used, or the connection was closed because of another request. The forward may have run.
+    /// The host is alive, and its health is not judged by this.
     Spoilt,
 }
 
 impl End {
-    /// It proves that the forward never ran.
+    /// Whether this end proves that the forward never ran.
     pub fn proves_not_run(self) -> bool {
         matches!(self, End::Full | End::NoConnection | End::NeverSent | End::Miss)
     }
 }
 
-/// What the answer says of the copy or of the fill.
+/// What the answer reports about the copy or the fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
     Untold,
@@ -66,7 +66,7 @@
     OriginFailed,
 }
 
-/// A host's own report; what is not told is absent.
+/// The load that a host reports about itself. Values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     pub utilization: Option<f64>,
@@ -75,18 +75,21 @@
     pub hit_ratio: Option<f64>,
 }
 
+/// How a forward ended, with its timing and what the host reported.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
+    /// Index of the forward among those of its GET, from 0.
     pub attempt: u32,
     pub end: End,
     pub elapsed: Duration,
-    /// The GET has had its final answer, by this outcome or before it.
+    /// The GET has its final answer, by this outcome or from an earlier one.
     pub is_answered: bool,
     pub note: Note,
     pub source_wait: Duration,
     pub load: LoadReport,
 }
 
+/// Status of a host in the host list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostStatus {
     Active,
@@ -95,17 +98,17 @@
     Removed,
 }
 
-/// When a host last started, as its line tells it.
+/// When a host last started, as its entry in the host list states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// At a time of this router's own clock; zero: long ago.
+    /// A time on this router's own clock; zero means long ago.
     At(Duration),
-    /// At a time of another machine's wall clock.
+    /// A time on another machine's wall clock.
     Claimed(StartClaim),
 }
 
 impl Start {
-    /// The stamp that tells this start from another; zero: none.
+    /// The claimed Unix time in milliseconds, which identifies this start; zero if there is none.
     pub fn claimed_unix_ms(self) -> u64 {
         match self {
             Self::At(_) => 0,
@@ -120,11 +123,11 @@
     }
 }
 
-/// One line of the list of hosts.
+/// One entry of the host list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostEntry {
     pub host: HostIndex,
-    /// The same number for this host at every router.
+    /// Hash of the host's id, the same at every router.
     pub id_hash: u64,
     pub status: HostStatus,
     pub start: Start,
@@ -132,66 +135,69 @@
     pub cell: u64,
     pub kind: usize,
     pub weight: f64,
-    /// Part of its keys, from 0 to 1, that its fleet holds back from it: a zone that comes back in steps.
+    /// Fraction of its keys, from 0 to 1, that the fleet withholds from the host while its zone returns in steps.
     pub withheld_fraction: f64,
 }
 
-/// The number of a host for its id, the same at every router: FNV-1a.
+/// Hashes a host id with FNV-1a. The result is the same at every router.
 pub fn hash_host_id(id: &str) -> u64 {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Milliseconds as they are told; none, or no time at all, is zero.
+/// Converts milliseconds to a `Duration`. Negative and invalid values become zero.
 pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::try_from_secs_f64((ms / 1e3).max(0.0)).unwrap_or_default()
 }
 
-/// What a purge names.
+/// What a purge applies to: the hash of an object or of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PurgeKey {
     Object(u64),
     Group(u64),
 }
 
+/// Kind of an update of the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     Changes,
     Full,
-    /// The whole list as this router last held it, perhaps out of date.
+    /// The full list as this router last held it. It may be out of date.
     Persisted,
-    /// A call for the list failed; what was known stays.
+    /// A request for the list failed. The known hosts stay.
     Failed,
 }
 
-/// One forward as it is to be sent.
+/// A forward to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Forward {
     pub host: HostIndex,
-    /// Where a miss is filled from; the host itself: nowhere.
+    /// Where a miss is filled from. The host itself means that a miss is not filled.
     pub source: HostIndex,
-    /// Zero: until the client gives up.
+    /// Zero means until the client gives up.
     pub timeout: Duration,
     pub retention_rank: u8,
-    /// Zero: the fresh time of the delivery service, or any age where it has none.
+    /// Zero means the fresh time of the delivery service, or any age if it has none.
     pub accepted_age: Duration,
     pub join_fill: bool,
-    /// The source gives only what it holds.
+    /// The source returns only what it has cached.
     pub only_if_cached: bool,
     pub renew: bool,
-    /// It may not begin after this, since the router's start: a tokened repeat whose window ends then. Zero: no such end.
+    /// Latest time, since the router's start, at which the forward may begin: the end of the window of a tokened repeat.
+    /// Zero means no limit.
     pub start_deadline: Duration,
 }
 
-/// Takes the decisions, in order.
+/// Receives the decisions, in order.
 pub trait DecisionSink {
     fn forward(&mut self, get: GetIndex, forward: &Forward);
     fn withdraw(&mut self, get: GetIndex, hop: u32);
     fn shed(&mut self, get: GetIndex, retry_after: Option<Duration>);
     fn error(&mut self, get: GetIndex);
-    /// Nothing more will be said of this GET; its place may be reused.
+    /// No further decision concerns this GET. Its index may be reused.
     fn release(&mut self, get: GetIndex);
+    /// Requests a call of `Round::on_wakeup` after this time.
     fn schedule_wakeup(&mut self, after: Duration);
-    /// Follow the list of hosts from now on.
+    /// Requests updates of the host list from now on.
     fn subscribe_host_list(&mut self);
     fn log(&mut self, line: std::fmt::Arguments<'_>);
 }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -29,26 +29,26 @@
     members: usize,
 }
 
-/// What a ring's walks have cost since it was laid: hosts met, and points visited on the way to them.
+/// Cost of a ring's walks since it was built: hosts found, and points visited on the way to them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WalkCost {
     pub hosts: u64,
     pub points: u64,
 }
 
-/// A member as a ring is laid.
+/// A member from which a ring is built.
 #[derive(Clone, Copy, Debug)]
 pub struct RingMember {
     pub host: HostIndex,
-    /// The same number for this host at every router.
+    /// Hash of the host's id, the same at every router.
     pub id_hash: u64,
     pub points: u64,
-    /// Of the router's own hub.
+    /// The member belongs to the router's own hub.
     pub is_near: bool,
 }
 
 impl Ring {
-    /// Lays the ring anew.
+    /// Builds a ring.
     pub fn build(members: impl Iterator<Item = RingMember>) -> Self {
         let mut ring = Self::default();
         for RingMember { host, id_hash: mark, points, is_near: near } in members {
@@ -62,17 +62,17 @@
         ring
     }
 
-    /// The members in the order in which they were laid.
+    /// The members in the order in which they were added.
     pub fn members(&self) -> impl Iterator<Item = HostIndex> {
         self.members.iter().map(|&(host, _)| host)
     }
 
-    /// The members with how many points each has.
+    /// The members with their numbers of points.
     pub fn members_with_points(&self) -> impl Iterator<Item = (HostIndex, u64)> {
         self.members.iter().copied()
     }
 
-    /// What the walks on this ring have cost since it was laid.
+    /// Cost of the walks on this ring since it was built.
     pub fn walk_cost(&self) -> WalkCost {
         self.walked.get()
     }
@@ -132,6 +132,7 @@
         Self { slots: [(0, 0); SLOTS], slot: 0, long }
     }
 
+    /// Moves the window to `now` and clears the slots that it has left.
     pub fn advance(&mut self, now: Duration) {
         let slot = (now.as_millis() * SLOTS as u128 / self.long.as_millis()) as usize;
         for old in (self.slot + 1..=slot).rev().take(SLOTS) {
@@ -145,7 +146,7 @@
         (*all, *with) = (all.saturating_add(counted), with.saturating_add(marked));
     }
 
-    /// All that was counted, and how much of it was marked.
+    /// Totals over the window: all counted items, and the marked ones among them.
     pub fn totals(&self) -> (u32, u32) {
         self.slots
             .iter()
@@ -153,7 +154,7 @@
     }
 }
 
-/// What was last noted by key, in a table of fixed size: a newer key takes an older one's place.
+/// Table of fixed size with the last value per key. A newer key replaces an older one in the same slot.
 pub struct DirectMappedTable<T> {
     slots: Box<[(u32, T)]>,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,9 +1,9 @@
-//! Reading the settings as they were handed over: names, dots between the levels, to values.
+//! Typed access to the settings by name. Dots in a name separate the levels.
 
 use serde_json::Value;
 use std::time::Duration;
 
-/// The settings as they came, names to values.
+/// The settings as received, by name.
 pub type Settings = serde_json::Map<String, Value>;
 
 fn find<'a>(values: &'a Settings, name: &str) -> Option<&'a Value> {
@@ -14,23 +14,25 @@
     })
 }
 
+/// The number with this name.
 pub fn number(values: &Settings, name: &str) -> Result<f64, String> {
     let value = find(values, name).ok_or_else(|| format!("setting {name} is missing"))?;
     value.as_f64().ok_or_else(|| format!("setting {name} is not a number"))
 }
 
-/// A number that makes no sense at zero or under it.
+/// A number that must be above zero.
 pub fn positive_number(values: &Settings, name: &str) -> Result<f64, String> {
     let n = number(values, name)?;
     if n > 0.0 { Ok(n) } else { Err(format!("setting {name} is not above zero")) }
 }
 
+/// The duration with this name, given in milliseconds. Negative values become zero.
 pub fn duration(values: &Settings, name: &str) -> Result<Duration, String> {
     let ms = number(values, name)?.max(0.0);
     Duration::try_from_secs_f64(ms / 1e3).map_err(|_| format!("setting {name} is not a time"))
 }
 
-/// The numbers of the zones whose caches are chosen: those named, else the one that this is.
+/// Indices of the zones whose caches are used: those of the setting `serves`, or else this router's own zone.
 pub fn served_zones(told: &Settings) -> Result<Vec<usize>, String> {
     let named = list(told, "serves").unwrap_or_default();
     let named: Vec<_> = named.iter().filter_map(|zone| Some(zone.as_u64()? as usize)).collect();
--- a/src/site_settings.rs
+++ b/src/site_settings.rs
@@ -1,11 +1,11 @@
-//! What is read once at the start: the places, machines and rules around a router, and its delivery services.
+//! Settings that are read once at the start: those of the router's site and of its delivery services.
 
 use crate::settings::{Settings, duration, flag, list, number, positive_number, served_zones, text};
 use std::time::Duration;
 
-/// One of the kinds of GET, with its promise to clients.
+/// A delivery service with its latency objective and its rules for copies and repeats.
 pub struct DeliveryService {
-    /// Latency objective, s, and what each second of a GET's own sending time adds to it.
+    /// The latency objective, and the seconds that each second of a GET's own sending time adds to it.
     pub objective_s: f64,
     pub objective_stretch: f64,
     pub fresh_time: Duration,
@@ -17,7 +17,7 @@
     pub token_window: Duration,
 }
 
-/// Where repeats of a tokened GET are dropped.
+/// The group of hosts that drops repeats of a tokened GET.
 #[derive(PartialEq)]
 pub enum TokenGroup {
     All,
@@ -25,7 +25,7 @@
     Cell,
 }
 
-/// How the hosts of a tier start, and how many routers share one.
+/// Slow start of the hosts of a tier, and how many routers share each host.
 pub struct SlowStartSettings {
     pub initial_fraction: f64,
     pub duration: Duration,
@@ -33,7 +33,7 @@
     pub sharing_routers: f64,
 }
 
-/// How many routers there are, as told at the start.
+/// Router counts from the settings.
 struct ToldRouters {
     all: f64,
     /// At this location.
@@ -44,41 +44,42 @@
     at_hub: f64,
 }
 
+/// Settings of the router's site: zones, tiers, rates and limits.
 pub struct SiteSettings {
     pub zone: usize,
-    /// Zones whose caches are chosen from here.
+    /// Zones whose caches this router uses.
     serves: Vec<usize>,
     pub hub_by_zone: Vec<usize>,
     pub parent_kind: Option<usize>,
     pub origin_kind: usize,
     pub routers: f64,
-    /// The same, as told at the start.
+    /// The counts from the settings.
     told: ToldRouters,
     /// Other routers at this location.
     pub other_local_routers: f64,
     /// Routers at this location's hub.
     hub_routers: f64,
-    /// Kilobytes a second of one transfer to a client.
+    /// Rate of one transfer to a client.
     pub transfer_kb_per_s: f64,
-    /// Such transfers that the location's link in fits; 0: not told.
+    /// Number of such transfers that fit the inbound link of the location; 0 if unknown.
     pub link_transfers: f64,
     pub can_join_fills: bool,
     pub can_bypass_caches: bool,
     pub has_fill_notes: bool,
     pub has_weights: bool,
     pub can_withdraw: bool,
-    /// The list of hosts must be asked for.
+    /// The host list is sent only on request.
     pub must_request_list: bool,
-    /// The longest wait that a client heeds, where it hears of one.
+    /// The longest wait that clients obey, if they receive one.
     pub max_retry_after: Option<Duration>,
     pub cache_slow_start: SlowStartSettings,
     pub parent_slow_start: SlowStartSettings,
-    /// Seconds of too much work after which a cold host falls over.
+    /// Seconds of overload after which a cold host fails.
     pub overload_window_s: f64,
     pub max_purge_delay: Duration,
     pub time_resolution: Duration,
     pub max_forwards: u32,
-    /// Origin fills a second that all routers together may ask for, where told.
+    /// Origin fills per second that all routers together may request, if configured.
     pub origin_fills_per_s: Option<f64>,
 }
 
@@ -109,13 +110,13 @@
 }
 
 impl SiteSettings {
-    /// Whether the caches of a zone are chosen from here.
+    /// Whether this router uses the caches of a zone.
     pub fn serves(&self, zone: usize) -> bool {
         self.serves.contains(&zone)
     }
 
-    /// So many routers share the sources from now on; those of this location and its hub are taken to be the same part
-    /// of them as were told.
+    /// Sets the number of routers that share the sources. The routers of this location and of its hub are assumed to be the
+    /// same fraction of all as in the settings.
     pub fn set_router_count(&mut self, routers: f64) {
         let ToldRouters { all, here, at_caches, at_hub } = self.told;
         let part = routers / all;
@@ -127,7 +128,7 @@
         self.hub_routers = (at_hub * part).max(1.0);
     }
 
-    /// Routers that share a source.
+    /// Number of routers that share a source.
     pub fn source_sharers(&self, is_parent: bool) -> f64 {
         if is_parent { self.hub_routers } else { self.routers }
     }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! What a router decides at a moment, in a form that those can follow who take GETs elsewhere: proxies of a control
-//! service. The rules by which a key finds its host stand here once, for the decision module and for its followers.
+//! Snapshot of a router's current decisions, for followers that route GETs elsewhere: the proxies of a control service. The
+//! rules that map a key to its host are defined here, for the decision module and for its followers.
 
 use crate::decide::{MAX_FORWARDS, MAX_WALKED_HOSTS, Round, Router};
 use crate::interface::{DecisionSink, HostIndex};
@@ -7,23 +7,24 @@
 use myrtlegauge_recovery::bits::{mix, unit_fraction};
 use std::time::Duration;
 
-/// The place of an object's part on the ring, and what its part of a cold host's keys goes by.
+/// Key of an object's part. It gives the position on the ring, and decides which keys a cold host takes.
 pub fn ring_key(object: u64, part: u32) -> u64 {
     mix(mix(object) ^ mix(u64::from(part) + 1))
 }
 
-/// Whether a key is in the part, from 0 to 1, of its keys that a host takes: the same at every router.
+/// Whether a key is in the fraction, from 0 to 1, of its keys that a host takes. The result is the same at every router.
 pub fn is_in_key_fraction(key: u64, mark: u64, part: f64) -> bool {
     unit_fraction(key ^ mark) <= part
 }
 
-/// Part of its keys that a host takes, in steps that stay the same for a while: a follower is told of a step.
+/// Rounds the fraction of its keys that a host takes down to a step. Followers are updated once per step.
 pub fn quantize_fraction(part: f64) -> f64 {
     const STEPS: f64 = 64.0;
     (part * STEPS).floor() / STEPS
 }
 
-/// The oldest copy that will do: the accepted age, never past a purge, nor then zero (that is any age).
+/// Age of the oldest copy that may be returned: the accepted age, limited by the last purge. With a purge it is never zero,
+/// since zero means any age.
 pub fn max_accepted_age(
     accepted: Duration,
     purged_at: Option<Duration>,
@@ -35,42 +36,42 @@
     if accepted == Duration::ZERO { limit } else { limit.min(accepted) }
 }
 
-/// A host's part in the ring.
+/// A host's share of the keys of its tier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostShare {
     pub host: HostIndex,
     pub id_hash: u64,
     pub points: u64,
-    /// Of its keys; 1 warm, 0 none.
+    /// Fraction of its keys that the host takes: 1 if warm, 0 for none.
     pub key_fraction: f64,
-    /// Of the same hub as the router's location.
+    /// The host belongs to the hub of the router's location.
     pub is_near: bool,
-    /// Fills from it that may be out together, of all that follow this router.
+    /// Fills from the host that may be in flight together, for all followers of this router.
     pub max_fills: f64,
 }
 
-/// What a delivery service's GETs are sent with.
+/// Parameters of the forwards of a delivery service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ForwardTerms {
     pub accepted_age: Duration,
     pub renew: bool,
-    /// It may be forwarded again however the forward ended; else only after ends that prove that nothing ran.
+    /// A GET may be forwarded again however its forward ended. Otherwise only after an end that proves that nothing ran.
     pub is_repeatable: bool,
 }
 
-/// All that a follower needs.
+/// All that a follower needs to route GETs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingSnapshot {
     pub terms: Vec<ForwardTerms>,
     pub caches: Vec<HostShare>,
     pub parents: Vec<HostShare>,
     pub origin: Option<HostShare>,
-    /// Over a source's bound the origin is not asked; the source is, for what it holds.
+    /// Above a source's limit the origin is not asked. The source is asked for what it has cached.
     pub is_origin_spared: bool,
     pub max_forwards: u32,
 }
 
-/// A location's tiers as a follower chooses in them.
+/// The tiers of a location, in which a follower selects hosts.
 #[derive(Default)]
 pub struct RoutingTable {
     pub caches: Tier,
@@ -80,7 +81,7 @@
 }
 
 impl RoutingTable {
-    /// The cache of a key, not the one that failed it unless no other takes it.
+    /// The cache of a key. The cache that failed it is selected only if no other takes the key.
     pub fn cache(&self, key: u64, tried: Option<HostIndex>) -> Option<&HostShare> {
         let other = self.caches.candidates(key).find(|share| Some(share.host) != tried);
         other.or_else(|| self.caches.candidates(key).next())
@@ -105,7 +106,7 @@
     }
 }
 
-/// A tier's ring with the part that each host takes.
+/// The ring of a tier with the share of each host.
 #[derive(Default)]
 pub struct Tier {
     ring: Ring,
@@ -113,6 +114,7 @@
 }
 
 impl Tier {
+    /// Builds the ring from the shares.
     pub fn build(shares: Vec<HostShare>) -> Self {
         let member = |(host, share): (usize, &HostShare)| {
             let &HostShare { id_hash: mark, points, is_near: near, .. } = share;
@@ -121,7 +123,7 @@
         Self { ring: Ring::build(shares.iter().enumerate().map(member)), shares }
     }
 
-    /// Takes other parts for the same hosts and points; false if the ring has to be laid anew.
+    /// Updates the shares for the same hosts and points. Returns false if the ring has to be rebuilt.
     pub fn update_fractions(&mut self, shares: &[HostShare]) -> bool {
         let laid = |share: &HostShare| (share.host, share.id_hash, share.points, share.is_near);
         let fits = shares.len() == self.shares.len()
@@ -132,9 +134,9 @@
         fits
     }
 
-    /// The hosts that take a key, in the order in which they would be asked: near ones first, each once. They are looked
-    /// for as far along the ring as the module looks (`MOST_HOSTS` near ones and as many others); a host that drains has
-    /// its points here still and counts.
+    /// The hosts that take a key, each once, in the order in which they are asked: near ones first. The walk along the ring is
+    /// as long as in the decision module (`MAX_WALKED_HOSTS` near ones and as many others). A draining host still has its
+    /// points here and counts.
     pub fn candidates(&self, key: u64) -> impl Iterator<Item = &HostShare> {
         let of = move |near: bool| {
             let shares = self.ring.walk::<MAX_WALKED_HOSTS>(key, near).map(|at| &self.shares[at]);
@@ -145,13 +147,13 @@
 }
 
 impl Router {
-    /// What walks along the rings of caches and of parents have cost since the last list change.
+    /// Cost of the walks along the rings of caches and of parents since the last change of the host list.
     pub fn walk_costs(&self) -> [WalkCost; 2] {
         [self.caches.walk_cost(), self.parents.walk_cost()]
     }
 
-    /// What this router decides now of hosts and services, for those who take GETs elsewhere. A failed host's trial
-    /// is the part of its keys that a host gets which has just started: a follower can't send just one GET.
+    /// Snapshot of this router's current decisions on hosts and services. The trial of a failed host is the fraction of its
+    /// keys that a newly started host gets, since a follower cannot send just one GET.
     pub fn routing_snapshot(&self, now: Duration) -> RoutingSnapshot {
         let share = |(host, points): (HostIndex, u64)| {
             let h = &self.hosts[host];
@@ -189,7 +191,7 @@
 }
 
 impl<D: DecisionSink> Round<'_, D> {
-    /// For how many routers sources are shared from now on, as the view of their members has it.
+    /// Sets the number of routers that share the sources, from the current membership view.
     pub fn set_router_count(&mut self, routers: f64) {
         let r = &mut *self.router;
         r.site.set_router_count(routers);
