--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -2,7 +2,7 @@
 //! clock: timestamps of other machines are converted into claims here and nowhere else.
 
 use myrtlegauge::host_life::StartClaim;
-use myrtlegauge::interface::span;
+use myrtlegauge::interface::duration_from_ms;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What lies before the start is a span, too.
@@ -31,7 +31,7 @@
 
     /// Records a timestamp of another machine, in Unix milliseconds. The time that it names has passed.
     pub fn record_remote_timestamp(&mut self, unix_ms: f64, now: Duration) {
-        let past = span(unix_ms).min(self.unix(now));
+        let past = duration_from_ms(unix_ms).min(self.unix(now));
         self.unix_offset = self.unix_offset.max(past.saturating_sub(now));
     }
 
@@ -44,8 +44,8 @@
     /// The claim that a start timestamp of another machine makes at `now`. A timestamp ahead of this machine's clock
     /// claims an age of zero. One that is not a valid time, or lies before 1970, claims no start.
     pub fn start_claim(&self, unix_ms: f64, now: Duration) -> StartClaim {
-        let stamp = span(unix_ms);
-        StartClaim { stamp: stamp.as_millis() as u64, age: self.unix(now).saturating_sub(stamp) }
+        let stamp = duration_from_ms(unix_ms);
+        StartClaim { unix_ms: stamp.as_millis() as u64, age: self.unix(now).saturating_sub(stamp) }
     }
 
     /// Converts a time to Unix milliseconds, which other programs can compare. Zero stands for no time and stays zero.
