--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,15 +1,17 @@
-//! All decisions of a router. `Router::new` reads the settings; `Router::round(now, &mut out, |round| …)` is
-//! called once for all that came in, and the closure makes one plain call per message on `Round`. Decisions
-//! go into `out`. Types and the trait `DecisionSink` are defined in `interface.rs`. Times are since the start.
-//! The design: a consistent-hash ring names cache and parent; a windowed count of origin fills sets `busy`;
-//! busy doubles the accepted age of a delivery service at each miss, up to its upper bound; idle rejects
-//! stale copies and lets fresh hits be renewed. Beside it stand six mechanisms:
-//! 1. health: a host is judged by the successes among its last few outcomes, silence included;
-//! 2. cold-start budget: a host that started lately gets a growing share of its part, within a budget;
-//! 3. fill source: the ring's parent, or the next that is well, with fills bounded; else a look at the cache;
-//! 4. silence and further forwards: a host with an overdue forward and no answer since is passed by;
-//! 5. load bound: what would be late at its cache goes on along the ring or is shed;
-//! 6. keep rank: an object seen again outranks one seen once.
+//! The decision module of a router. `Router::new` parses the settings. `Router::round(now, &mut out, |round| …)` is called
+//! once for all inputs that arrived, and the closure makes one method call on `Round` per input. The decisions go to the
+//! sink `out`. `interface.rs` defines the types and the trait `DecisionSink`. Times are since the router's start.
+//!
+//! A consistent-hash ring selects the cache and the parent of a key. A windowed count of origin fills sets `busy`. While
+//! busy, the accepted age of a delivery service doubles at each miss, up to its upper bound. While not busy, stale copies
+//! are rejected and fresh hits may be renewed. Six mechanisms complement this:
+//! 1. health: a host is judged by the successes among its last few outcomes; silence counts as a failure;
+//! 2. slow start: a recently started host gets a growing fraction of its keys, within a budget;
+//! 3. fill source: the parent that the ring selects, or the next healthy one, with a limit on fills; otherwise the cache is
+//!    asked for what it holds;
+//! 4. silence and further forwards: a host with an overdue forward and no answer since is skipped;
+//! 5. load limit: a GET that would be late at its cache goes to the next cache on the ring or is shed;
+//! 6. retention rank: an object that was requested again outranks one that was requested once.
 
 use crate::host_life::{EndEvidence, ListingContext, TimeReference};
 use crate::interface::*;
@@ -23,274 +25,312 @@
 use std::time::Duration;
 
 const ZERO: Duration = Duration::ZERO;
-/// ms; the design's window.
+/// Window of the fill counts and of the mean work per warm cache.
 const WINDOW: Duration = Duration::from_millis(5000);
-/// slots in the window; with ten a count lags by a tenth of it.
-const SLOTS: usize = 10;
-/// fills; fewer slow or failed ones in a window are chance.
-const BUSY_LEAST: u32 = 3;
-/// slow or failed fills are one in so many of a window's fills when the origin is slow, not chance.
-const BUSY_PART: u32 = 4;
-/// points on the ring for a host of mean size; evens parts out to a tenth, stays in the processor's cache.
-const RING_POINTS: f64 = 96.0;
-/// hosts that a walk along a ring meets, of near ones and of others each: with three in ten failed, 32 in a row are one key
-/// in 10^16; where all are cold and take a tenth of their keys, three keys in a hundred find none.
+/// Slots in the window. With ten slots a count lags by a tenth of the window.
+const WINDOW_SLOTS: usize = 10;
+/// Least number of slow or failed fills in a window that sets `busy`. Fewer may be chance.
+const MIN_BAD_FILLS: u32 = 3;
+/// The origin counts as slow if more than one in this many fills of a window is slow or failed. Fewer may be chance.
+const BAD_FILL_DIVISOR: u32 = 4;
+/// Points on the ring for a host of mean weight. They even out the shares to about a tenth, and the ring still fits into the
+/// processor's cache.
+const POINTS_PER_MEAN_HOST: f64 = 96.0;
+/// Largest number of hosts that a walk along a ring visits, for near hosts and for others each. With three in ten hosts failed,
+/// one key in 10^16 has 32 failed ones in a row. Where all hosts are cold and take a tenth of their keys, three keys in a hundred
+/// find no host.
 pub const MAX_WALKED_HOSTS: usize = 32;
-/// outcomes by which a host is judged, half of them successes: few, to find a dead one in time.
-const FEW: u32 = 4;
-/// ms; a failed host rests this long before one trial, doubled at each failed trial up to four times it.
-const REST: Duration = Duration::from_millis(1000);
-/// ms; a host without a success for so long may have been restarted and is treated as cold on its return.
-const LOST: Duration = Duration::from_millis(2000);
-/// ms; step of the running means: far under any latency objective, few calls a second.
-const SWEEP: Duration = Duration::from_millis(25);
-/// s; least patience beyond the expected sending time: several round trips to a far source.
-const PATIENCE: f64 = 0.25;
-/// times the expected time that a host may be silent: half as fast as thought is not dead.
-const PATIENT: f64 = 2.0;
-/// forwards for one GET; a third failure says that the trouble is not one host's.
+/// Number of recent outcomes by which a host is judged. At least half of them must be successes. The number is small so that
+/// a dead host is found in time.
+const JUDGED_OUTCOMES: u32 = 4;
+/// Time before a failed host gets one trial, doubled at each failed trial up to four times this value. It is also the time
+/// before a failed request for the host list is repeated.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(1000);
+/// A failed host without a success for longer than this may have been restarted, and is treated as cold on its return.
+const ASSUMED_RESTART_AFTER: Duration = Duration::from_millis(2000);
+/// Interval of the wake-ups, in which the running means are updated. It is far below any latency objective and causes few
+/// calls per second.
+const WAKEUP_INTERVAL: Duration = Duration::from_millis(25);
+/// Least time beyond the expected sending time before a forward is overdue: several round trips to a distant source.
+const OVERDUE_MARGIN_S: f64 = 0.25;
+/// Factor on the expected time up to which a host counts as slow, not as dead or impaired: a host at half the expected speed
+/// is not dead.
+const TOLERATED_SLOWDOWN: f64 = 2.0;
+/// Largest number of forwards for one GET. A third failure shows that the cause is not a single host.
 pub(crate) const MAX_FORWARDS: u32 = 3;
-/// ms; a host in slow start that has answered nothing for so long, with something out there, may be reading nothing.
-const SILENT: Duration = Duration::from_millis(250);
-/// share of what pushes a cold host over: a burst and what drains meanwhile make twice it in one span.
-const BUDGET_PART: f64 = 0.5;
-/// size of a small host beside the mean, where weights are untold: the cold one may be small.
-const SMALLEST: f64 = 0.6;
-/// share of the time left for the latency objective that a GET is sent within: room for what comes after it.
-const IN_TIME: f64 = 0.8;
-/// pace of hits under which a cache's link is full: a cache with room goes faster even where sizes vary.
-const CROWDED: f64 = 0.7;
-/// the same for fills where their wait is untold and part of their time.
-const JAMMED: f64 = 0.4;
-/// ms; over which what this router has out at a cache is taken as what each other one has there.
-const MEAN_OVER: Duration = Duration::from_millis(1000);
-/// transfers; least room learnt: under one, for a host may slow many times while nothing else is out there.
-const LEAST_ROOM: f64 = 0.1;
-/// weight of a transfer at full pace beyond the learnt room: low, for room is lost faster than it is had.
-const RISE: f64 = 0.03;
-/// latency objectives that a sending time must take for a wait not told to be small beside it.
-const LONG: f64 = 0.5;
-/// share of the latency objective taken for the sending time until some are seen.
-const SENDING_FIRST: f64 = 0.25;
-/// share of the latency objective taken for a request's work at a host in slow start until some are seen: too much is safe.
-const WORK_FIRST: f64 = 0.5;
-/// weight of a new figure in a running mean; some ten outcomes' memory.
-const BLEND: f64 = 0.1;
-/// weight of a probable fill in the part of them that comes to the origin: one in twenty does, in some fifty each shows.
-const REACHES_BLEND: f64 = 0.02;
-/// part of the time left that a fill may wait for its turn, for what comes after it may take longer than thought.
-const TURN_PART: f64 = 0.3;
-/// ms; a copy returned so lately is taken to be held still: under what caches keep unused.
-const HELD: Duration = Duration::from_millis(3000);
-/// objects remembered as seen; a power of two, some minutes of a busy router.
-const SEEN: usize = 1 << 16;
-/// ms; mean wait told to a client that was shed, scattered by half.
-const COME_BACK: Duration = Duration::from_millis(500);
-
-/// What a request takes at a cache, s.
+/// A host in slow start that has answered nothing for this long, with forwards in flight, may not be reading at all.
+const SLOW_START_SILENCE: Duration = Duration::from_millis(250);
+/// Fraction of the work that overloads a cold host which is sent to it. A burst, plus what drains in the meantime, makes twice
+/// the budget in one overload window.
+const OVERLOAD_BUDGET_FRACTION: f64 = 0.5;
+/// Assumed weight of a cold host relative to the mean, where no weights are configured: it may be a small one.
+const MIN_RELATIVE_WEIGHT: f64 = 0.6;
+/// Fraction of the time left to the latency objective that a GET is planned to take. The rest is for what comes after it.
+const USABLE_OBJECTIVE_FRACTION: f64 = 0.8;
+/// Relative pace of hits below which a cache's link is full. A cache with spare capacity is faster even if sizes vary.
+const CONGESTED_PACE: f64 = 0.7;
+/// The same for fills whose wait for the source is not reported and is part of their time.
+const CONGESTED_PACE_WITH_WAIT: f64 = 0.4;
+/// Time constant of the mean number of this router's transfers at a cache. Each other router is assumed to have as many there.
+const LINK_LOAD_MEAN_TIME: Duration = Duration::from_millis(1000);
+/// Lower bound of the learnt capacity of a link, in transfers. It is below one, since a host may slow down many times over while
+/// nothing else is in flight to it.
+const MIN_LINK_CAPACITY: f64 = 0.1;
+/// Weight of a transfer at full pace that shows more than the learnt capacity. It is low because capacity is lost faster than it
+/// is regained.
+const CAPACITY_RISE_WEIGHT: f64 = 0.03;
+/// Least sending time, in latency objectives, beside which a wait that is not reported is small.
+const MIN_SENDING_OBJECTIVES: f64 = 0.5;
+/// Fraction of the latency objective that is assumed as the sending time until some were observed.
+const INITIAL_SENDING_FRACTION: f64 = 0.25;
+/// Fraction of the latency objective that is assumed as a request's work at a host in slow start until some was observed. Too
+/// large a value is safe.
+const INITIAL_WORK_FRACTION: f64 = 0.5;
+/// Weight of a new sample in a moving average, which makes it a memory of about ten outcomes.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Weight of a probable fill in the fraction of them that reaches the origin. Where one in twenty does, a memory of about fifty
+/// fills shows each.
+const ORIGIN_FRACTION_WEIGHT: f64 = 0.02;
+/// Fraction of the time left that a fill may wait for its scheduled start, since what follows may take longer than expected.
+const MAX_FILL_WAIT_FRACTION: f64 = 0.3;
+/// A copy that was returned within this time is assumed to be still cached. It is less than the time for which caches keep
+/// unused copies.
+const ASSUMED_CACHED_TIME: Duration = Duration::from_millis(3000);
+/// Number of objects that are remembered as requested: a power of two, for some minutes of a busy router.
+const REMEMBERED_OBJECTS: usize = 1 << 16;
+/// Mean wait that a client is given when it is shed, randomized by half of it in both directions.
+const MEAN_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// Expected time of a request at a cache, in seconds.
 #[derive(Clone, Copy)]
-struct Work {
-    /// By itself.
-    alone: f64,
-    /// Beside what is there usually.
-    crowded: f64,
+struct RequestWork {
+    /// Without other transfers.
+    alone_s: f64,
+    /// Beside the usual number of other transfers.
+    loaded_s: f64,
 }
 
+/// Decides where the GETs of one router go. It does no I/O.
 pub struct Router {
     pub(crate) site: SiteSettings,
     pub(crate) services: Vec<DeliveryService>,
     pub(crate) service_stats: Vec<ServiceStats>,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     pub(crate) hosts: Vec<HostState>,
     gets: Slab<InFlightGet>,
     pub(crate) caches: Ring,
     pub(crate) parents: Ring,
     pub(crate) origin: Option<HostIndex>,
-    fills: SlidingCounts<SLOTS>,
+    fill_counts: SlidingCounts<WINDOW_SLOTS>,
     pub(crate) busy: bool,
-    /// By object or group, when it was purged.
+    /// Time of the last purge, by object or group.
     purges: BTreeMap<PurgeKey, Duration>,
-    /// What is known of the list and of time.
-    known: TimeReference,
-    /// Purges of about then may not have been told here: as if all had been purged.
-    doubted: Option<Duration>,
-    /// By key, when a copy of it was last returned; zero: only asked for.
-    seen: DirectMappedTable<Duration>,
-    /// By object, where sizes are untold, the sending time of a part as learnt, s.
-    sizes: DirectMappedTable<f64>,
-    /// The location's link in: probable fills out, their mean, the room as learnt.
-    link: LinkLoad,
-    /// Work that a warm cache gets from this router, s a second, and what was sent since the last wake-up.
-    carried: f64,
-    sent_work: f64,
-    waking: bool,
-    /// GETs whose fills wait for their turn.
-    waiting: Vec<GetIndex>,
-    again: RetryBudget,
-    /// Part of the probable fills from parents that these had to ask the origin for.
-    reaches: f64,
-    /// When to ask to follow the list; never where it comes unasked.
-    follow_at: Duration,
+    /// How current the host list is, and the offset to Unix time.
+    time_reference: TimeReference,
+    /// Purges since about this time may have been missed. Everything is treated as purged then.
+    purges_unknown_since: Option<Duration>,
+    /// When a copy was last returned, by key. Zero means that the key was only requested.
+    last_returned: DirectMappedTable<Duration>,
+    /// Observed sending time of a part in seconds, by object, where sizes are not reported.
+    part_sending_s: DirectMappedTable<f64>,
+    /// The location's inbound link: probable fills in flight, their mean, and the learnt capacity.
+    location_link: LinkLoad,
+    /// Work that a warm cache gets from this router, in seconds per second.
+    work_per_warm_cache: f64,
+    /// Work sent to warm caches since the last wake-up, in seconds.
+    work_since_wakeup_s: f64,
+    is_wakeup_scheduled: bool,
+    /// GETs with a scheduled fill.
+    scheduled_gets: Vec<GetIndex>,
+    retry_budget: RetryBudget,
+    /// Fraction of the probable fills from parents for which the parents had to ask the origin.
+    origin_fraction: f64,
+    /// When to subscribe to the host list. It is never reached where the list comes without a request.
+    subscribe_at: Duration,
     limits_slow_start: bool,
     guards_repeats: bool,
     slow_start_violations: u64,
 }
 
 impl LinkLoad {
-    /// Transfers with one more: this router's, and as many as it has on the mean for each other one here.
-    fn all(&self, others: f64) -> f64 {
-        self.in_flight + 1.0 + self.mean_in_flight * others
+    /// Assumed number of transfers on the link with one more: those of this router, and its mean for each other router at this
+    /// location.
+    fn total_transfers(&self, other_routers: f64) -> f64 {
+        self.in_flight + 1.0 + self.mean_in_flight * other_routers
     }
 
-    /// Times its full time that a transfer takes among these, by the room as learnt or told; 1 by neither.
-    fn slowness(&self, others: f64, told: f64) -> f64 {
-        let room = if self.capacity > 0.0 { self.capacity } else { told };
-        let drag = if self.slowdown > PATIENT { self.slowdown } else { 1.0 };
-        if room > 0.0 { (self.all(others) / room).max(drag) } else { drag }
+    /// Factor on the time of a transfer because of the other transfers, from the learnt or the configured capacity. It is 1 if
+    /// neither is known and hits are not much slower than at the best cache.
+    fn slowness(&self, other_routers: f64, configured_capacity: f64) -> f64 {
+        let capacity = if self.capacity > 0.0 { self.capacity } else { configured_capacity };
+        let slowdown = if self.slowdown > TOLERATED_SLOWDOWN { self.slowdown } else { 1.0 };
+        if capacity > 0.0 { (self.total_transfers(other_routers) / capacity).max(slowdown) } else { slowdown }
     }
 
-    /// Learns from a transfer's pace what the link fits: at once while it is full, slowly more while not.
-    fn learn(&mut self, others: f64, pace: f64, crowded: f64) {
-        let fits = (self.all(others) * pace).max(LEAST_ROOM);
-        if pace < crowded {
-            self.capacity = if self.capacity > 0.0 { blended(self.capacity, fits, BLEND) } else { fits };
-        } else if self.capacity > 0.0 && pace > CROWDED && fits > self.capacity {
-            self.capacity = blended(self.capacity, fits, RISE);
+    /// Updates the learnt capacity of the link from the relative pace of a transfer: at once while the link is full, and slowly
+    /// upwards while it is not.
+    fn record_pace(&mut self, other_routers: f64, pace: f64, congested_pace: f64) {
+        let observed_capacity = (self.total_transfers(other_routers) * pace).max(MIN_LINK_CAPACITY);
+        if pace < congested_pace {
+            self.capacity = if self.capacity > 0.0 {
+                moving_average(self.capacity, observed_capacity, SAMPLE_WEIGHT)
+            } else {
+                observed_capacity
+            };
+        } else if self.capacity > 0.0 && pace > CONGESTED_PACE && observed_capacity > self.capacity {
+            self.capacity = moving_average(self.capacity, observed_capacity, CAPACITY_RISE_WEIGHT);
         }
     }
 
-    fn pass(&mut self) {
-        self.mean_in_flight = blended(self.mean_in_flight, self.in_flight, SWEEP.div_duration_f64(MEAN_OVER));
+    fn update_mean(&mut self) {
+        self.mean_in_flight = moving_average(
+            self.mean_in_flight,
+            self.in_flight,
+            WAKEUP_INTERVAL.div_duration_f64(LINK_LOAD_MEAN_TIME),
+        );
     }
 }
 
-fn blended(mean: f64, new: f64, weight: f64) -> f64 {
-    mean + weight * (new - mean)
+fn moving_average(mean: f64, sample: f64, weight: f64) -> f64 {
+    mean + weight * (sample - mean)
 }
 
 impl HostState {
-    fn on(&self) -> bool {
+    fn is_active(&self) -> bool {
         self.entry.status == HostStatus::Active
     }
 
     pub(crate) fn has_failed(&self) -> bool {
-        count_recent(self.recent_failures, FEW) > FEW / 2
+        count_recent(self.recent_failures, JUDGED_OUTCOMES) > JUDGED_OUTCOMES / 2
     }
 
-    /// Open to GETs; a failed host, after its rest, to one trial at a time. A silent one, with a forward due
-    /// and no answer since, is passed by; what is out there stays, for a fill may run on and be paid twice.
+    /// Whether the host takes GETs. A failed host takes one trial at a time after its backoff. A silent host, with an overdue
+    /// forward and no answer since, is skipped. Forwards in flight to it are not withdrawn, since a fill may still be running
+    /// and a second one would cost the source twice.
     pub(crate) fn is_usable(&self, now: Duration) -> bool {
-        let silent = self.link.in_flight > 0.0 && now >= self.answer_due;
-        self.on()
-            && !silent
+        let is_silent = self.link.in_flight > 0.0 && now >= self.answer_due;
+        self.is_active()
+            && !is_silent
             && (!self.has_failed() || now >= self.backoff_until && self.link.in_flight == 0.0)
     }
 
-    fn filled(&mut self, told: &FillOutcome, now: Duration) -> bool {
-        self.fill_limiter.on_completed(self.fills_in_flight, told, now)
+    /// Records the end of a fill from this host. Returns whether the host is congested.
+    fn record_fill(&mut self, outcome: &FillOutcome, now: Duration) -> bool {
+        self.fill_limiter.on_completed(self.fills_in_flight, outcome, now)
     }
 
-    /// Guards against dead, silent, unreachable and cold, refusing hosts. It hurts crowded ones.
-    fn judge(&mut self, now: Duration, success: bool) {
-        let failed = self.has_failed();
+    /// Records an outcome by which the host's health is judged. This protects GETs from dead, silent and unreachable hosts, and
+    /// from cold ones that refuse work. It does harm to hosts that are only overloaded.
+    fn record_outcome(&mut self, now: Duration, success: bool) {
+        let had_failed = self.has_failed();
         self.recent_failures = self.recent_failures << 1 | u32::from(!success);
         if success {
-            if failed && now.saturating_sub(self.last_success) > LOST {
+            if had_failed && now.saturating_sub(self.last_success) > ASSUMED_RESTART_AFTER {
                 self.recovered_at = now;
             }
             (self.last_success, self.failed_trials) = (now, 0);
-        } else if self.has_failed() && (!failed || now >= self.backoff_until) {
-            self.backoff_until = now + REST * (1 << self.failed_trials);
+        } else if self.has_failed() && (!had_failed || now >= self.backoff_until) {
+            self.backoff_until = now + INITIAL_BACKOFF * (1 << self.failed_trials);
             self.failed_trials = (self.failed_trials + 1).min(2);
         }
     }
 }
 
 impl Router {
-    pub fn new(told: &Settings, seed: u64) -> Result<Self, String> {
-        let (site, services) = (SiteSettings::parse(told)?, DeliveryService::parse_all(told)?);
-        let learnt = |ds: &DeliveryService| ServiceStats {
+    /// Creates a router. `seed` starts its random numbers.
+    pub fn new(settings: &Settings, seed: u64) -> Result<Self, String> {
+        let (site, services) = (SiteSettings::parse(settings)?, DeliveryService::parse_all(settings)?);
+        let initial_stats = |ds: &DeliveryService| ServiceStats {
             accepted_age: ds.fresh_time,
-            mean_sending_s: ds.objective_s * SENDING_FIRST,
+            mean_sending_s: ds.objective_s * INITIAL_SENDING_FRACTION,
             ..ServiceStats::default()
         };
         Ok(Self {
-            service_stats: services.iter().map(learnt).collect(),
-            follow_at: if site.must_request_list { ZERO } else { Duration::MAX },
+            service_stats: services.iter().map(initial_stats).collect(),
+            subscribe_at: if site.must_request_list { ZERO } else { Duration::MAX },
             site,
             services,
-            chance: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
             hosts: Vec::new(),
             gets: Slab::with_capacity(1024),
             caches: Ring::default(),
             parents: Ring::default(),
             origin: None,
-            fills: SlidingCounts::new(WINDOW),
+            fill_counts: SlidingCounts::new(WINDOW),
             busy: false,
             purges: BTreeMap::new(),
-            known: TimeReference::default(),
-            doubted: None,
-            seen: DirectMappedTable::new(SEEN),
-            sizes: DirectMappedTable::new(SEEN),
-            link: LinkLoad::default(),
-            carried: 0.0,
-            sent_work: 0.0,
-            waking: false,
-            waiting: Vec::new(),
-            again: RetryBudget::default(),
-            reaches: 0.0,
+            time_reference: TimeReference::default(),
+            purges_unknown_since: None,
+            last_returned: DirectMappedTable::new(REMEMBERED_OBJECTS),
+            part_sending_s: DirectMappedTable::new(REMEMBERED_OBJECTS),
+            location_link: LinkLoad::default(),
+            work_per_warm_cache: 0.0,
+            work_since_wakeup_s: 0.0,
+            is_wakeup_scheduled: false,
+            scheduled_gets: Vec::new(),
+            retry_budget: RetryBudget::default(),
+            origin_fraction: 0.0,
             limits_slow_start: true,
             guards_repeats: true,
             slow_start_violations: 0,
         })
     }
 
-    /// One round with all that came in at `now`.
-    pub fn round<D, T>(&mut self, now: Duration, out: &mut D, said: impl FnOnce(&mut Round<'_, D>) -> T) -> T
+    /// Runs one round: `apply_inputs` passes on all inputs that arrived by `now`. Its result is returned.
+    pub fn round<D, T>(
+        &mut self,
+        now: Duration,
+        out: &mut D,
+        apply_inputs: impl FnOnce(&mut Round<'_, D>) -> T,
+    ) -> T
     where
         D: DecisionSink,
     {
-        self.fills.advance(now);
+        self.fill_counts.advance(now);
         let mut round = Round { router: self, out, now };
-        let told = said(&mut round);
-        round.settle();
-        told
+        let result = apply_inputs(&mut round);
+        round.finish();
+        result
     }
 
     /// Number of forwards in flight to a host, as counted here.
     pub fn in_flight_at(&self, host: HostIndex) -> f64 {
-        self.hosts.get(host).map_or(0.0, |h| h.link.in_flight)
+        self.hosts.get(host).map_or(0.0, |host| host.link.in_flight)
     }
 
-    /// The design's flag: over this router's share of a told rate, or, with none, by slow and failed fills.
-    fn counts_busy(&self) -> bool {
-        let (all, bad) = self.fills.totals();
+    /// Computes the busy flag: whether the fills exceed this router's share of the configured origin rate, or, if none is
+    /// configured, whether too many fills are slow or failed.
+    fn is_origin_busy(&self) -> bool {
+        let (all, bad) = self.fill_counts.totals();
         match self.site.origin_fills_per_s {
             Some(rate) => f64::from(all) > rate / self.site.routers * WINDOW.as_secs_f64(),
-            None => bad >= BUSY_LEAST && bad * BUSY_PART > all,
+            None => bad >= MIN_BAD_FILLS && bad * BAD_FILL_DIVISOR > all,
         }
     }
 
-    /// The design's growth: while busy the accepted age doubles at each miss.
-    fn missed(&mut self, ds: usize, misses: u32) {
-        self.busy = self.counts_busy();
-        let (service, learnt) = (&self.services[ds], &mut self.service_stats[ds]);
+    /// Records misses of a service. While the origin is busy the accepted age doubles at each miss.
+    fn record_misses(&mut self, ds: usize, misses: u32) {
+        self.busy = self.is_origin_busy();
+        let (service, stats) = (&self.services[ds], &mut self.service_stats[ds]);
         for _ in 0..if self.busy { misses.min(u64::BITS) } else { 0 } {
-            learnt.accepted_age = (learnt.accepted_age * 2).min(service.fresh_time + service.grace);
-            learnt.staleness_decay.raise(learnt.accepted_age);
+            stats.accepted_age = (stats.accepted_age * 2).min(service.fresh_time + service.grace);
+            stats.staleness_decay.raise(stats.accepted_age);
         }
     }
 
-    /// Lays a ring of the hosts that are on, points by weight.
-    fn ring(&self, holds: impl Fn(&Self, &HostEntry) -> bool) -> Ring {
-        let members = || self.hosts.iter().filter(|h| h.on() && holds(self, &h.entry)).map(|h| &h.entry);
-        let mean = members().map(|e| e.weight).sum::<f64>() / members().count() as f64;
-        let points = |e: &HostEntry| (RING_POINTS * e.weight / mean.max(1e-9)).round().max(1.0) as u64;
-        let member = |e: &HostEntry| RingMember {
-            host: e.host,
-            id_hash: e.id_hash,
-            points: points(e),
-            is_near: self.is_near(e),
+    /// Builds a ring of the active hosts that `selects` accepts, with points by weight.
+    fn build_ring(&self, selects: impl Fn(&Self, &HostEntry) -> bool) -> Ring {
+        let members =
+            || self.hosts.iter().filter(|h| h.is_active() && selects(self, &h.entry)).map(|h| &h.entry);
+        let mean_weight = members().map(|entry| entry.weight).sum::<f64>() / members().count() as f64;
+        let points = |entry: &HostEntry| {
+            (POINTS_PER_MEAN_HOST * entry.weight / mean_weight.max(1e-9)).round().max(1.0) as u64
+        };
+        let member = |entry: &HostEntry| RingMember {
+            host: entry.host,
+            id_hash: entry.id_hash,
+            points: points(entry),
+            is_near: self.is_near(entry),
         };
         Ring::build(members().map(member))
     }
@@ -299,7 +339,7 @@
         Some(entry.kind) == self.site.parent_kind
     }
 
-    /// No parent of another hub.
+    /// Whether the host is anything but a parent of another hub.
     pub(crate) fn is_near(&self, entry: &HostEntry) -> bool {
         !self.is_parent(entry)
             || self.site.hub_by_zone.get(entry.zone) == self.site.hub_by_zone.get(self.site.zone)
@@ -311,71 +351,81 @@
 
     /// Fraction of its full work that a recently started host may get; `None` for a warm host.
     pub(crate) fn slow_start_fraction(&self, host: HostIndex, now: Duration) -> Option<f64> {
-        let (entry, began) = (&self.hosts[host].entry, self.hosts[host].process_start(&self.known, now));
-        let start = self.slow_start_settings(entry);
-        let age = began.age.as_secs_f64() / start.duration.as_secs_f64().max(1e-3);
-        let cold = began.at > ZERO && age < 1.0 && entry.kind != self.site.origin_kind;
-        let part = if cold {
-            snapshot::quantize_fraction(start.initial_fraction + (1.0 - start.initial_fraction) * age)
+        let (entry, process_start) =
+            (&self.hosts[host].entry, self.hosts[host].process_start(&self.time_reference, now));
+        let settings = self.slow_start_settings(entry);
+        let relative_age = process_start.age.as_secs_f64() / settings.duration.as_secs_f64().max(1e-3);
+        let is_cold = process_start.at > ZERO && relative_age < 1.0 && entry.kind != self.site.origin_kind;
+        let fraction = if is_cold {
+            snapshot::quantize_fraction(
+                settings.initial_fraction + (1.0 - settings.initial_fraction) * relative_age,
+            )
         } else {
             1.0
         };
-        Some(part.min(1.0 - entry.withheld_fraction)).filter(|&part| part < 1.0)
+        Some(fraction.min(1.0 - entry.withheld_fraction)).filter(|&fraction| fraction < 1.0)
     }
 
-    /// Work of a request of this service as a host in slow start is asked for it: where nothing is learnt yet, as after a
-    /// restart, a large part of what the objective allows.
-    fn work(&self, get: &Get) -> Work {
-        let (learnt, ds) = (&self.service_stats[get.ds], &self.services[get.ds]);
-        match (get.size_kb == 0.0, learnt.sample_count == 0.0) {
-            (false, _) => Work { alone: learnt.mean_sending_s, crowded: learnt.mean_sending_s },
-            (true, true) => Work { alone: ds.objective_s * WORK_FIRST, crowded: ds.objective_s * WORK_FIRST },
-            (true, false) => Work {
-                alone: learnt.mean_sending_s,
-                crowded: learnt.mean_service_s.max(learnt.mean_sending_s),
+    /// Expected work of a request at a host in slow start. While nothing was observed, as after a restart, it is a large
+    /// fraction of the latency objective.
+    fn request_work(&self, get: &Get) -> RequestWork {
+        let (stats, ds) = (&self.service_stats[get.ds], &self.services[get.ds]);
+        match (get.size_kb == 0.0, stats.sample_count == 0.0) {
+            (false, _) => RequestWork { alone_s: stats.mean_sending_s, loaded_s: stats.mean_sending_s },
+            (true, true) => RequestWork {
+                alone_s: ds.objective_s * INITIAL_WORK_FRACTION,
+                loaded_s: ds.objective_s * INITIAL_WORK_FRACTION,
+            },
+            (true, false) => RequestWork {
+                alone_s: stats.mean_sending_s,
+                loaded_s: stats.mean_service_s.max(stats.mean_sending_s),
             },
         }
     }
 
-    /// What this router may send to a host in slow start that takes `warmth` of its full work.
-    fn slow_start_share(&self, host: HostIndex, warmth: f64) -> WorkShare {
-        let carried = self.carried * (self.site.other_local_routers + 1.0) * SMALLEST;
+    /// Share of this router in the work of a host in slow start that takes `fraction` of its full work.
+    fn slow_start_share(&self, host: HostIndex, fraction: f64) -> WorkShare {
+        let estimated_capacity =
+            self.work_per_warm_cache * (self.site.other_local_routers + 1.0) * MIN_RELATIVE_WEIGHT;
         let entry = &self.hosts[host].entry;
-        let room = if self.site.has_weights { entry.weight } else { carried };
-        let start = self.slow_start_settings(entry);
-        let rate = BUDGET_PART * start.overload_factor * warmth * room / start.sharing_routers;
+        let capacity = if self.site.has_weights { entry.weight } else { estimated_capacity };
+        let settings = self.slow_start_settings(entry);
+        let rate = OVERLOAD_BUDGET_FRACTION * settings.overload_factor * fraction * capacity
+            / settings.sharing_routers;
         WorkShare { rate, window_s: self.site.overload_window_s }
     }
 
-    /// Cold-start budget, also of a host lost and found again: a fixed part of the keys, the same at every
-    /// router, within this router's part of what the host bears.
-    fn admits(&mut self, host: HostIndex, key: u64, work: Work, now: Duration) -> bool {
-        let Some(warmth) = self.slow_start_fraction(host, now).filter(|_| self.limits_slow_start) else {
+    /// Whether the slow start of a host admits a request. A host that was lost and reached again is in slow start, too. It takes
+    /// a fixed fraction of its keys, the same at every router, within this router's share of its capacity.
+    fn slow_start_admits(&mut self, host: HostIndex, key: u64, work: RequestWork, now: Duration) -> bool {
+        let Some(fraction) = self.slow_start_fraction(host, now).filter(|_| self.limits_slow_start) else {
             return true;
         };
-        let share = self.slow_start_share(host, warmth);
-        let (known, phase) = (self.known, self.chance.f64());
+        let share = self.slow_start_share(host, fraction);
+        let (time_reference, phase) = (self.time_reference, self.rng.f64());
         let (is_near, is_parent) =
             (self.is_near(&self.hosts[host].entry), self.is_parent(&self.hosts[host].entry));
-        let h = &mut self.hosts[host];
-        let takes = is_near && snapshot::is_in_key_fraction(key, h.entry.id_hash, warmth);
-        // What a silent host has not answered counts beside what was sent lately: it may read all of that at once.
-        let out = if is_parent { h.fills_in_flight } else { h.link.in_flight };
-        let is_silent = out > 0.0 && now >= h.last_answer + SILENT;
-        let fits =
-            !is_silent || (out + 1.0) * work.crowded <= (share.rate * share.window_s).max(work.crowded);
-        let began = h.process_start(&known, now);
-        let cold_since = ColdSince { at: began.at, is_older_than_router: began.is_from_initial_list };
-        takes && fits && h.slow_start.admits(work.alone, share, cold_since, phase, now)
+        let host = &mut self.hosts[host];
+        let takes_key = is_near && snapshot::is_in_key_fraction(key, host.entry.id_hash, fraction);
+        // What a silent host has not answered counts in addition to recent work, since it may read all of that at once.
+        let in_flight = if is_parent { host.fills_in_flight } else { host.link.in_flight };
+        let is_silent = in_flight > 0.0 && now >= host.last_answer + SLOW_START_SILENCE;
+        let fits = !is_silent
+            || (in_flight + 1.0) * work.loaded_s <= (share.rate * share.window_s).max(work.loaded_s);
+        let process_start = host.process_start(&time_reference, now);
+        let cold_since =
+            ColdSince { at: process_start.at, is_older_than_router: process_start.is_from_initial_list };
+        takes_key && fits && host.slow_start.admits(work.alone_s, share, cold_since, phase, now)
     }
 
-    /// The check of the slow start, on what is really sent to a host or, for a fill, asked of a parent.
-    fn check_slow_start(&mut self, host: HostIndex, work: f64, now: Duration) -> bool {
-        let Some(warmth) = self.slow_start_fraction(host, now) else { return true };
-        let share = self.slow_start_share(host, warmth);
-        let holds = self.hosts[host].slow_start_check.check(work, share, now);
-        self.slow_start_violations += u64::from(!holds);
-        holds
+    /// Checks the slow start against the work that is really sent to a host or, for a fill, requested from a parent. Returns
+    /// false if it exceeds the share.
+    fn check_slow_start(&mut self, host: HostIndex, work_s: f64, now: Duration) -> bool {
+        let Some(fraction) = self.slow_start_fraction(host, now) else { return true };
+        let share = self.slow_start_share(host, fraction);
+        let is_within_share = self.hosts[host].slow_start_check.check(work_s, share, now);
+        self.slow_start_violations += u64::from(!is_within_share);
+        is_within_share
     }
 
     /// Number of times that a host in slow start got more than this router's share. Zero unless the limit is disabled.
@@ -393,153 +443,179 @@
         self.guards_repeats = false;
     }
 
-    /// A tokened GET that may have run stays in the group that drops its repeats, and in the window.
-    fn may_go(&self, g: &InFlightGet, host: HostIndex, now: Duration) -> bool {
-        let ds = &self.services[g.get.ds];
-        let Some((ran_at, _)) = g.may_have_run.filter(|_| self.guards_repeats) else { return true };
-        let (a, b) = (&self.hosts[ran_at].entry, &self.hosts[host].entry);
-        let same = match ds.token_group {
+    /// Whether a GET may be forwarded to a host. A tokened GET that may have run stays in the group that drops its repeats, and
+    /// within the window in which the group does so.
+    fn may_forward_to(&self, in_flight: &InFlightGet, host: HostIndex, now: Duration) -> bool {
+        let ds = &self.services[in_flight.get.ds];
+        let Some((ran_at_host, _)) = in_flight.may_have_run.filter(|_| self.guards_repeats) else {
+            return true;
+        };
+        let (first, next) = (&self.hosts[ran_at_host].entry, &self.hosts[host].entry);
+        let is_same_group = match ds.token_group {
             TokenGroup::All => true,
-            TokenGroup::Zone => a.zone == b.zone,
-            TokenGroup::Cell => a.cell == b.cell,
+            TokenGroup::Zone => first.zone == next.zone,
+            TokenGroup::Cell => first.cell == next.cell,
         };
-        ds.is_idempotent || ds.is_tokened && same && self.window_ends(g).is_none_or(|at| now < at)
+        ds.is_idempotent
+            || ds.is_tokened && is_same_group && self.repeat_deadline(in_flight).is_none_or(|at| now < at)
     }
 
-    /// Until when what may have run can be sent again, where it may not simply be repeated.
-    fn window_ends(&self, g: &InFlightGet) -> Option<Duration> {
-        let ran = g.may_have_run.filter(|_| !self.services[g.get.ds].is_idempotent);
-        ran.map(|(_, at)| at + self.services[g.get.ds].token_window.saturating_sub(self.site.time_resolution))
+    /// Until when a GET that may have run and is not idempotent can be sent again; `None` if there is no limit.
+    fn repeat_deadline(&self, in_flight: &InFlightGet) -> Option<Duration> {
+        let may_have_run = in_flight.may_have_run.filter(|_| !self.services[in_flight.get.ds].is_idempotent);
+        may_have_run.map(|(_, sent_at)| {
+            sent_at + self.services[in_flight.get.ds].token_window.saturating_sub(self.site.time_resolution)
+        })
     }
 
+    /// When the object or its group was last purged, or may have been.
     fn purged_at(&self, get: &Get) -> Option<Duration> {
-        let named = [PurgeKey::Object(get.object), PurgeKey::Group(get.group)];
-        named.iter().filter_map(|named| self.purges.get(named)).copied().chain(self.doubted).max()
+        let keys = [PurgeKey::Object(get.object), PurgeKey::Group(get.group)];
+        keys.iter().filter_map(|key| self.purges.get(key)).copied().chain(self.purges_unknown_since).max()
     }
 
-    /// The oldest copy that will do.
-    fn oldest(&self, get: &Get, key: u64, now: Duration) -> Duration {
-        let accepted = self.service_stats[get.ds].staleness_decay.accepted_age(
+    /// Age of the oldest copy that may be returned for a GET.
+    fn max_accepted_age(&self, get: &Get, key: u64, now: Duration) -> Duration {
+        let accepted_age = self.service_stats[get.ds].staleness_decay.accepted_age(
             key,
             self.services[get.ds].fresh_time,
             now,
         );
-        snapshot::max_accepted_age(accepted, self.purged_at(get), now, self.site.time_resolution)
+        snapshot::max_accepted_age(accepted_age, self.purged_at(get), now, self.site.time_resolution)
     }
 
-    /// Times its sending time that a GET takes at a cache.
+    /// Factor on the sending time of a GET at a host because of the load on its link.
     fn slowness(&self, host: HostIndex) -> f64 {
-        let told = if self.site.has_weights { self.hosts[host].entry.weight } else { 0.0 };
-        self.hosts[host].link.slowness(self.site.other_local_routers, told)
+        let configured_capacity = if self.site.has_weights { self.hosts[host].entry.weight } else { 0.0 };
+        self.hosts[host].link.slowness(self.site.other_local_routers, configured_capacity)
     }
 
-    /// The cache that the ring names, or the next that can take the GET in time; and whether any is open.
-    fn cache(&mut self, place: GetIndex, within: f64, now: Duration) -> (Option<HostIndex>, bool) {
+    /// Selects the first cache on the ring that can return the GET within `within_s` seconds. A cache that just failed the GET is
+    /// used only if there is no other. The flag tells whether any cache was open to the GET.
+    fn select_cache(&mut self, index: GetIndex, within_s: f64, now: Duration) -> (Option<HostIndex>, bool) {
         let ring = std::mem::take(&mut self.caches);
-        let InFlightGet { get, key, sending_s: sending, .. } = self.gets[place];
-        let (work, mut any) = (self.work(&get), false);
-        let mut first = |again: bool| {
+        let InFlightGet { get, key, sending_s, .. } = self.gets[index];
+        let (work, mut any_open) = (self.request_work(&get), false);
+        let mut find_cache = |allows_last_failed: bool| {
             ring.walk::<MAX_WALKED_HOSTS>(key, true).find(|&host| {
-                let g = &self.gets[place];
-                let open = (again || g.last_failed[0] != Some(host)) && self.hosts[host].is_usable(now);
-                let open = open && self.may_go(g, host, now);
-                any |= open;
-                let fits = open && sending * self.slowness(host) <= within;
-                fits && self.admits(host, key, work, now)
+                let in_flight = &self.gets[index];
+                let is_open = (allows_last_failed || in_flight.last_failed[0] != Some(host))
+                    && self.hosts[host].is_usable(now);
+                let is_open = is_open && self.may_forward_to(in_flight, host, now);
+                any_open |= is_open;
+                let is_in_time = is_open && sending_s * self.slowness(host) <= within_s;
+                is_in_time && self.slow_start_admits(host, key, work, now)
             })
         };
-        let found = first(false).or_else(|| first(true));
+        let found = find_cache(false).or_else(|| find_cache(true));
         self.caches = ring;
-        (found, any)
+        (found, any_open)
     }
 
-    /// The parent that the ring names, or the next that can take the fill, own hub first; else the origin;
-    /// else, while busy, a full parent for what it holds, told by the flag that comes with it.
-    fn source(
+    /// Selects the source of a fill: the first parent on the ring that can take it, those of the own hub first; otherwise the
+    /// origin. While busy, it is otherwise a parent at its limit, which the returned flag restricts to what it has cached.
+    fn select_source(
         &mut self,
-        place: GetIndex,
-        fill: bool,
-        within: f64,
+        index: GetIndex,
+        is_fill: bool,
+        within_s: f64,
         now: Duration,
     ) -> Option<(HostIndex, bool)> {
-        let InFlightGet {
-            get, key, last_failed: [_, tried], sending_s: sending, scheduled_fill: goes, ..
-        } = self.gets[place];
-        let (work, ring) = (self.work(&get), std::mem::take(&mut self.parents));
-        let paced = |h: &HostState| h.fill_limiter.has_room(h.fills_in_flight, now);
-        let (origin, open) =
-            (self.origin, self.reaches == 0.0 || self.origin.is_none_or(|o| paced(&self.hosts[o])));
-        let room = |h: &HostState| {
-            let turn = goes.is_some_and(|(host, _)| host == h.entry.host);
-            let paced = turn || paced(h) && (open || origin == Some(h.entry.host));
-            !fill || paced && h.latency.estimate_s(sending, now) <= within
+        let InFlightGet { get, key, last_failed: [_, failed_source], sending_s, scheduled_fill, .. } =
+            self.gets[index];
+        let (work, ring) = (self.request_work(&get), std::mem::take(&mut self.parents));
+        let is_below_limit = |host: &HostState| host.fill_limiter.has_room(host.fills_in_flight, now);
+        let (origin, origin_has_room) = (
+            self.origin,
+            self.origin_fraction == 0.0
+                || self.origin.is_none_or(|origin| is_below_limit(&self.hosts[origin])),
+        );
+        let has_room = |host: &HostState| {
+            let is_scheduled = scheduled_fill.is_some_and(|(source, _)| source == host.entry.host);
+            let is_admitted =
+                is_scheduled || is_below_limit(host) && (origin_has_room || origin == Some(host.entry.host));
+            !is_fill || is_admitted && host.latency.estimate_s(sending_s, now) <= within_s
         };
-        let (mut full, mut listed) = (None, None);
-        let mut fit = |near: bool| {
-            ring.walk::<MAX_WALKED_HOSTS>(key, near).find(|&host| {
-                let h = &self.hosts[host];
-                let open = Some(host) != tried && h.is_usable(now);
-                full = full.or(Some(host).filter(|_| open && !room(h)));
-                listed = listed.or(Some(host).filter(|_| h.is_usable(now)));
-                open && full.is_none() && self.admits(host, key, work, now)
+        let (mut full_parent, mut usable_parent) = (None, None);
+        let mut find_parent = |is_near: bool| {
+            ring.walk::<MAX_WALKED_HOSTS>(key, is_near).find(|&host| {
+                let state = &self.hosts[host];
+                let is_open = Some(host) != failed_source && state.is_usable(now);
+                full_parent = full_parent.or(Some(host).filter(|_| is_open && !has_room(state)));
+                usable_parent = usable_parent.or(Some(host).filter(|_| state.is_usable(now)));
+                is_open && full_parent.is_none() && self.slow_start_admits(host, key, work, now)
             })
         };
-        let found = fit(true).or_else(|| fit(false));
+        let found = find_parent(true).or_else(|| find_parent(false));
         self.parents = ring;
-        let spared = full.is_some() && self.busy && self.site.has_fill_notes;
-        let found = found.or(self.origin.filter(|&origin| !spared && room(&self.hosts[origin])));
+        let is_origin_spared = full_parent.is_some() && self.busy && self.site.has_fill_notes;
+        let found =
+            found.or(self.origin.filter(|&origin| !is_origin_spared && has_room(&self.hosts[origin])));
         found.map(|host| (host, false)).or_else(|| {
-            let held = full.or(listed).filter(|_| self.busy && !self.gets[place].is_missing_at_source)?;
-            self.admits(held, key, work, now).then_some((held, true))
+            let parent = full_parent
+                .or(usable_parent)
+                .filter(|_| self.busy && !self.gets[index].is_missing_at_source)?;
+            self.slow_start_admits(parent, key, work, now).then_some((parent, true))
         })
     }
 
-    /// The origin, where a host's own sources ask it: its bound is on all that comes to it, by whatever way. Guards an origin
-    /// behind many parents, of each of which a router sees too little; it hurts what a parent holds while that is full.
-    fn behind(&self, source: HostIndex) -> Option<HostIndex> {
-        self.origin.filter(|&origin| origin != source && self.reaches > 0.0)
+    /// The origin, if fills from `source` may reach it. Its limit covers all fills that reach it, on any path. This protects an
+    /// origin behind many parents, of each of which a router sees too few fills. It does harm to what a parent has cached while
+    /// the origin is at its limit.
+    fn origin_behind(&self, source: HostIndex) -> Option<HostIndex> {
+        self.origin.filter(|&origin| origin != source && self.origin_fraction > 0.0)
     }
 
-    /// Has a fill wait for its turn at the ring's parent, else the origin, if it is in time then; none: its bound there is
-    /// no matter of time. Guards GETs that come unevenly; it hurts by late fills where the source slows meanwhile.
-    fn waits(&mut self, place: GetIndex, within: f64, now: Duration) -> Option<bool> {
-        let InFlightGet { key, sending_s: sending, scheduled_fill: goes, .. } = self.gets[place];
-        let near = self.parents.walk::<MAX_WALKED_HOSTS>(key, true).find(|&h| self.hosts[h].is_usable(now));
-        let by_turns = |h: HostIndex| self.hosts[h].fill_limiter.limit() < 1.0;
-        let host = near.or(self.origin).filter(|_| goes.is_none())?;
-        (by_turns(host) || self.behind(host).is_some_and(by_turns)).then_some(())?;
-        let opens =
-            |h: HostIndex| self.hosts[h].fill_limiter.available_at(self.hosts[h].fills_in_flight, now);
-        let at = opens(host)?.max(self.behind(host).map_or(Some(now), opens)?);
-        let wait = (at - now).as_secs_f64();
-        let expected = self.hosts[host].latency.estimate_s(sending, now);
-        let in_time = wait <= within * TURN_PART && wait + expected <= within;
-        if in_time {
-            self.sent_to(host, now);
-            self.gets[place].scheduled_fill = Some((host, at));
-            self.waiting.push(place);
+    /// Schedules a fill at the ring's parent, otherwise at the origin, if the fill is then in time. Returns whether it was
+    /// scheduled, or `None` if it was before or if the limit there does not depend on time. This protects GETs that arrive
+    /// unevenly. It does harm by late fills where the source slows down in the meantime.
+    fn schedule_fill(&mut self, index: GetIndex, within_s: f64, now: Duration) -> Option<bool> {
+        let InFlightGet { key, sending_s, scheduled_fill, .. } = self.gets[index];
+        let near_parent = self
+            .parents
+            .walk::<MAX_WALKED_HOSTS>(key, true)
+            .find(|&parent| self.hosts[parent].is_usable(now));
+        let is_spaced = |host: HostIndex| self.hosts[host].fill_limiter.limit() < 1.0;
+        let source = near_parent.or(self.origin).filter(|_| scheduled_fill.is_none())?;
+        (is_spaced(source) || self.origin_behind(source).is_some_and(is_spaced)).then_some(())?;
+        let available_at = |host: HostIndex| {
+            self.hosts[host].fill_limiter.available_at(self.hosts[host].fills_in_flight, now)
+        };
+        let start_at = available_at(source)?.max(self.origin_behind(source).map_or(Some(now), available_at)?);
+        let wait_s = (start_at - now).as_secs_f64();
+        let expected_s = self.hosts[source].latency.estimate_s(sending_s, now);
+        let is_in_time = wait_s <= within_s * MAX_FILL_WAIT_FRACTION && wait_s + expected_s <= within_s;
+        if is_in_time {
+            self.record_fill_sent(source, now);
+            self.gets[index].scheduled_fill = Some((source, start_at));
+            self.scheduled_gets.push(index);
         }
-        Some(in_time)
+        Some(is_in_time)
     }
 
-    fn sent_to(&mut self, source: HostIndex, now: Duration) {
+    /// Records a fill that was sent or scheduled, at its source and at the origin behind that.
+    fn record_fill_sent(&mut self, source: HostIndex, now: Duration) {
         self.hosts[source].fill_limiter.on_sent(1.0, now);
-        self.behind(source).into_iter().for_each(|o| self.hosts[o].fill_limiter.on_sent(self.reaches, now));
+        self.origin_behind(source)
+            .into_iter()
+            .for_each(|origin| self.hosts[origin].fill_limiter.on_sent(self.origin_fraction, now));
     }
 
-    /// Ranks an object seen again over one seen once, so that a scan can't push out what is wanted.
-    fn rank(&mut self, key: u64) -> u8 {
-        if self.seen.get(key).is_none() {
-            self.seen.set(key, ZERO);
+    /// Ranks an object that was requested again above one that was requested once, so that a scan cannot displace objects in
+    /// demand.
+    fn retention_rank(&mut self, key: u64) -> u8 {
+        if self.last_returned.get(key).is_none() {
+            self.last_returned.set(key, ZERO);
             return 1;
         }
         2
     }
 
-    /// A copy was returned lately and not purged since, so that a cache probably holds it still.
-    fn held(&self, g: &InFlightGet, now: Duration) -> bool {
-        let since = self.purged_at(&g.get).unwrap_or(ZERO).max(now.saturating_sub(HELD));
-        self.seen.get(g.key).is_some_and(|at| at > since)
+    /// Whether a copy was returned recently and not purged since, so that a cache probably still holds it.
+    fn is_probably_cached(&self, in_flight: &InFlightGet, now: Duration) -> bool {
+        let since =
+            self.purged_at(&in_flight.get).unwrap_or(ZERO).max(now.saturating_sub(ASSUMED_CACHED_TIME));
+        self.last_returned.get(in_flight.key).is_some_and(|returned_at| returned_at > since)
     }
 }
 
@@ -561,430 +637,515 @@
         self.router.gets.vacant_key()
     }
 
-    /// Takes a GET and decides on it.
+    /// Takes a GET and decides on it. A GET of an unknown delivery service is answered with an error.
     pub fn on_get(&mut self, get: Get) {
-        let r = &mut *self.router;
-        let Some(learnt) = r.service_stats.get_mut(get.ds) else {
-            self.out.error(r.gets.vacant_key());
-            return self.out.release(r.gets.vacant_key());
+        let router = &mut *self.router;
+        let Some(stats) = router.service_stats.get_mut(get.ds) else {
+            self.out.error(router.gets.vacant_key());
+            return self.out.release(router.gets.vacant_key());
         };
-        let (object, told) =
-            (mix(get.object), (get.size_kb > 0.0).then_some(get.size_kb / r.site.transfer_kb_per_s));
-        let sending = told.or_else(|| r.sizes.get(object)).unwrap_or(learnt.mean_sending_s);
-        learnt.mean_sending_s =
-            told.map_or(learnt.mean_sending_s, |told| blended(learnt.mean_sending_s, told, BLEND));
-        let place = r.gets.insert(InFlightGet {
+        let (object, reported_sending_s) =
+            (mix(get.object), (get.size_kb > 0.0).then_some(get.size_kb / router.site.transfer_kb_per_s));
+        let sending_s =
+            reported_sending_s.or_else(|| router.part_sending_s.get(object)).unwrap_or(stats.mean_sending_s);
+        stats.mean_sending_s = reported_sending_s.map_or(stats.mean_sending_s, |reported| {
+            moving_average(stats.mean_sending_s, reported, SAMPLE_WEIGHT)
+        });
+        let index = router.gets.insert(InFlightGet {
             get,
             taken_at: self.now,
             key: snapshot::ring_key(get.object, get.part),
-            sending_s: sending,
+            sending_s,
             ..InFlightGet::default()
         });
-        self.decide(place);
+        self.decide(index);
     }
 
-    /// Sends the GET on, or gives it up at once.
-    fn decide(&mut self, place: GetIndex) {
-        let (now, r) = (self.now, &mut *self.router);
-        let g = &r.gets[place];
-        let (get, key, sending, tried, hops) = (g.get, g.key, g.sending_s, g.last_failed, g.forward_count);
-        let left = (g.taken_at + get.viewer_timeout).saturating_sub(now + r.site.time_resolution * 2);
-        let (ds, write) = (&r.services[get.ds], r.services[get.ds].is_write);
-        let objective = ds.objective_s + ds.objective_stretch * sending - (now - g.taken_at).as_secs_f64();
-        let hopeless = left.is_zero()
-            || get.size_kb > 0.0 && left.as_secs_f64() < sending
-            || get.in_shed_fraction && !write;
-        if hopeless || hops >= r.site.max_forwards.min(MAX_FORWARDS) {
-            return self.give_up(place);
+    /// Forwards the GET, schedules its fill, or answers it at once.
+    fn decide(&mut self, index: GetIndex) {
+        let (now, router) = (self.now, &mut *self.router);
+        let in_flight = &router.gets[index];
+        let (get, key, sending_s, last_failed, forward_count) = (
+            in_flight.get,
+            in_flight.key,
+            in_flight.sending_s,
+            in_flight.last_failed,
+            in_flight.forward_count,
+        );
+        let time_left =
+            (in_flight.taken_at + get.viewer_timeout).saturating_sub(now + router.site.time_resolution * 2);
+        let (ds, is_write) = (&router.services[get.ds], router.services[get.ds].is_write);
+        let objective_left_s =
+            ds.objective_s + ds.objective_stretch * sending_s - (now - in_flight.taken_at).as_secs_f64();
+        let is_unanswerable = time_left.is_zero()
+            || get.size_kb > 0.0 && time_left.as_secs_f64() < sending_s
+            || get.in_shed_fraction && !is_write;
+        if is_unanswerable || forward_count >= router.site.max_forwards.min(MAX_FORWARDS) {
+            return self.shed_or_error(index);
         }
-        let fill = !write && !r.held(&r.gets[place], now);
-        let within = if write { f64::INFINITY } else { (objective * IN_TIME).max(sending) };
-        let (chosen, any) =
-            if write && r.site.can_bypass_caches { (None, false) } else { r.cache(place, within, now) };
-        if chosen.is_none() && any {
-            return self.give_up(place);
+        let is_fill = !is_write && !router.is_probably_cached(&router.gets[index], now);
+        let within_s = if is_write {
+            f64::INFINITY
+        } else {
+            (objective_left_s * USABLE_OBJECTIVE_FRACTION).max(sending_s)
+        };
+        let (cache, any_open) = if is_write && router.site.can_bypass_caches {
+            (None, false)
+        } else {
+            router.select_cache(index, within_s, now)
+        };
+        if cache.is_none() && any_open {
+            return self.shed_or_error(index);
         }
-        let origin = r.origin.filter(|&origin| write && tried[1] != Some(origin));
-        // While the origin is busy a client's try again has a fill within a budget: first ones can still be in time.
-        let late = fill
-            && sending * r.link.slowness(r.site.other_local_routers, r.site.link_transfers) > within
-            || get.is_retry && r.busy && !r.again.allows();
-        let asked = |r: &mut Router| if late { None } else { r.source(place, fill, within, now) };
-        let source = origin.map(|origin| (origin, false)).or_else(|| asked(r));
-        // No fill would be in time: the cache is asked for what it holds, once.
-        let look = chosen.filter(|_| source.is_none() && !write && !r.gets[place].is_missing_at_source);
-        if fill && !late && chosen.is_some() && source.is_none_or(|(_, held)| held) {
-            match r.waits(place, within.min(left.as_secs_f64()), now) {
+        let write_origin = router.origin.filter(|&origin| is_write && last_failed[1] != Some(origin));
+        // While the origin is busy, fills for clients' retries have a budget, since first attempts can still be in time.
+        let is_fill_refused = is_fill
+            && sending_s
+                * router.location_link.slowness(router.site.other_local_routers, router.site.link_transfers)
+                > within_s
+            || get.is_retry && router.busy && !router.retry_budget.allows();
+        let select_source = |router: &mut Router| {
+            if is_fill_refused { None } else { router.select_source(index, is_fill, within_s, now) }
+        };
+        let source = write_origin.map(|origin| (origin, false)).or_else(|| select_source(router));
+        // No fill would be in time: the cache is asked once for what it holds.
+        let lookup_cache =
+            cache.filter(|_| source.is_none() && !is_write && !router.gets[index].is_missing_at_source);
+        if is_fill
+            && !is_fill_refused
+            && cache.is_some()
+            && source.is_none_or(|(_, only_if_cached)| only_if_cached)
+        {
+            match router.schedule_fill(index, within_s.min(time_left.as_secs_f64()), now) {
                 Some(true) => return,
-                // No room in a part under one fill, a share among many, nor at the origin: a failed fill in the flag's count.
+                // Neither a limit below one fill, as one share among many routers is, nor the origin has room. For the busy
+                // flag this counts as a failed fill.
                 Some(false) => {
-                    let full =
-                        |o: HostIndex| !r.hosts[o].fill_limiter.has_room(r.hosts[o].fills_in_flight, now);
-                    let refused = u32::from(r.origin.is_none_or(full));
-                    r.fills.add(refused, refused);
+                    let is_full = |origin: HostIndex| {
+                        let origin = &router.hosts[origin];
+                        !origin.fill_limiter.has_room(origin.fills_in_flight, now)
+                    };
+                    let refused = u32::from(router.origin.is_none_or(is_full));
+                    router.fill_counts.add(refused, refused);
                 }
                 None => {}
             }
         }
-        let source = source.or(look.map(|host| (host, false)));
-        let (source, held_only) = source.map_or((None, false), |(host, held)| (Some(host), held));
-        if source.is_none() && !write {
-            return self.give_up(place);
+        let source = source.or(lookup_cache.map(|host| (host, false)));
+        let (source, only_if_cached) =
+            source.map_or((None, false), |(host, only_if_cached)| (Some(host), only_if_cached));
+        if source.is_none() && !is_write {
+            return self.shed_or_error(index);
         }
-        let fill = fill && look.is_none();
-        let host = chosen.or(source.filter(|_| r.site.can_bypass_caches));
-        let Some(host) = host.filter(|&host| r.may_go(&r.gets[place], host, now)) else {
-            return self.give_up(place);
+        let is_fill = is_fill && lookup_cache.is_none();
+        let host = cache.or(source.filter(|_| router.site.can_bypass_caches));
+        let Some(host) = host.filter(|&host| router.may_forward_to(&router.gets[index], host, now)) else {
+            return self.shed_or_error(index);
         };
         let forward = Forward {
             host,
-            // Asked straight, a parent that is its own source would only look.
-            source: r.origin.filter(|_| chosen.is_none()).or(source).unwrap_or(host),
-            timeout: left,
-            retention_rank: if write { 0 } else { r.rank(key) },
-            accepted_age: if write { ZERO } else { r.oldest(&get, key, now) },
-            join_fill: r.site.can_join_fills && !write,
-            only_if_cached: held_only,
-            renew: !r.busy && !write,
-            start_deadline: r.window_ends(&r.gets[place]).unwrap_or(ZERO),
+            // A parent that is asked directly and is its own source would return only what it has cached.
+            source: router.origin.filter(|_| cache.is_none()).or(source).unwrap_or(host),
+            timeout: time_left,
+            retention_rank: if is_write { 0 } else { router.retention_rank(key) },
+            accepted_age: if is_write { ZERO } else { router.max_accepted_age(&get, key, now) },
+            join_fill: router.site.can_join_fills && !is_write,
+            only_if_cached,
+            renew: !router.busy && !is_write,
+            start_deadline: router.repeat_deadline(&router.gets[index]).unwrap_or(ZERO),
         };
-        let work = r.work(&get).alone;
-        let asked_fill = Some(forward.source).filter(|&source| source != host);
-        for cold in [Some(host), asked_fill].into_iter().flatten() {
-            if !r.check_slow_start(cold, work, now) {
-                let mark = r.hosts[cold].entry.id_hash;
-                self.out
-                    .log(format_args!("broken: host {cold} ({mark:016x}) in slow start gets over its share"));
+        let work_s = router.request_work(&get).alone_s;
+        let fill_source = Some(forward.source).filter(|&source| source != host);
+        for checked_host in [Some(host), fill_source].into_iter().flatten() {
+            if !router.check_slow_start(checked_host, work_s, now) {
+                let id_hash = router.hosts[checked_host].entry.id_hash;
+                self.out.log(format_args!(
+                    "broken: host {checked_host} ({id_hash:016x}) in slow start gets over its share"
+                ));
             }
         }
-        let slowness = r.slowness(host);
-        let patience = (objective - sending).max(sending * slowness * PATIENT + PATIENCE);
-        let overdue = now + Duration::from_secs_f64(patience);
-        let h = &mut r.hosts[host];
-        h.answer_due = if h.link.in_flight > 0.0 { h.answer_due.min(overdue) } else { overdue };
-        h.link.in_flight += 1.0;
-        let (fills, turn, withdrawn) =
-            (f64::from(u8::from(fill)), r.gets[place].scheduled_fill.take(), false);
-        let behind = r.behind(forward.source).filter(|_| fill && !held_only);
-        let (reaches, hop, to, at) = (behind.map_or(0.0, |_| r.reaches), hops, forward, now);
-        r.gets[place].current_forward = Some(SentForward {
-            attempt: hop,
-            forward: to,
-            sent_at: at,
-            overdue_at: overdue,
-            is_fill: fill,
-            origin_fraction: reaches,
+        let slowness = router.slowness(host);
+        let overdue_after_s =
+            (objective_left_s - sending_s).max(sending_s * slowness * TOLERATED_SLOWDOWN + OVERDUE_MARGIN_S);
+        let overdue_at = now + Duration::from_secs_f64(overdue_after_s);
+        let host_state = &mut router.hosts[host];
+        host_state.answer_due =
+            if host_state.link.in_flight > 0.0 { host_state.answer_due.min(overdue_at) } else { overdue_at };
+        host_state.link.in_flight += 1.0;
+        let (fill_count, scheduled_fill, is_withdrawn) =
+            (f64::from(u8::from(is_fill)), router.gets[index].scheduled_fill.take(), false);
+        let origin_behind = router.origin_behind(forward.source).filter(|_| is_fill && !only_if_cached);
+        let (origin_fraction, attempt, sent_at) =
+            (origin_behind.map_or(0.0, |_| router.origin_fraction), forward_count, now);
+        router.gets[index].current_forward = Some(SentForward {
+            attempt,
+            forward,
+            sent_at,
+            overdue_at,
+            is_fill,
+            origin_fraction,
             slowness,
-            is_withdrawn: withdrawn,
+            is_withdrawn,
         });
-        r.gets[place].forward_count += 1;
-        if fill {
-            r.hosts[forward.source].fills_in_flight += fills;
-            behind.into_iter().for_each(|origin| r.hosts[origin].fills_in_flight += reaches);
-            if turn.is_none() && !held_only {
-                r.sent_to(forward.source, now);
+        router.gets[index].forward_count += 1;
+        if is_fill {
+            router.hosts[forward.source].fills_in_flight += fill_count;
+            origin_behind
+                .into_iter()
+                .for_each(|origin| router.hosts[origin].fills_in_flight += origin_fraction);
+            if scheduled_fill.is_none() && !only_if_cached {
+                router.record_fill_sent(forward.source, now);
             }
-            r.again.record_fill(get.is_retry);
+            router.retry_budget.record_fill(get.is_retry);
         }
-        r.link.in_flight += fills;
-        self.out.forward(place, &forward);
+        router.location_link.in_flight += fill_count;
+        self.out.forward(index, &forward);
     }
 
-    /// The final answer of a GET given up on, at once: idempotent or proven not run, it is shed.
-    fn give_up(&mut self, place: GetIndex) {
-        let r = &mut *self.router;
-        let g = &mut r.gets[place];
-        g.is_answered = true;
-        let ds = &r.services[g.get.ds];
-        if ds.is_idempotent || g.may_have_run.is_none() || ds.is_tokened && ds.token_group == TokenGroup::All
+    /// Answers a GET at once that is not forwarded any more. It is shed if it is idempotent, was proven not to have run, or is
+    /// tokened and all hosts drop its repeats. Otherwise it is errored.
+    fn shed_or_error(&mut self, index: GetIndex) {
+        let router = &mut *self.router;
+        let in_flight = &mut router.gets[index];
+        in_flight.is_answered = true;
+        let ds = &router.services[in_flight.get.ds];
+        if ds.is_idempotent
+            || in_flight.may_have_run.is_none()
+            || ds.is_tokened && ds.token_group == TokenGroup::All
         {
-            let wait = COME_BACK.mul_f64(0.5 + r.chance.f64());
-            self.out.shed(place, r.site.max_retry_after.map(|most| wait.min(most)));
+            let retry_after = MEAN_RETRY_AFTER.mul_f64(0.5 + router.rng.f64());
+            self.out.shed(index, router.site.max_retry_after.map(|longest| retry_after.min(longest)));
         } else {
-            self.out.error(place);
+            self.out.error(index);
         }
-        self.free(place);
+        self.withdraw_or_release(index);
     }
 
-    /// Calls off what is out for an answered GET. Its place is reused only once nothing is.
-    fn free(&mut self, place: GetIndex) {
-        let g = &mut self.router.gets[place];
-        if let Some(sent) =
-            g.current_forward.as_mut().filter(|s| !s.is_withdrawn && self.router.site.can_withdraw)
+    /// Withdraws the forward in flight of an answered GET. The GET's index is released only once no forward is in flight.
+    fn withdraw_or_release(&mut self, index: GetIndex) {
+        let in_flight = &mut self.router.gets[index];
+        if let Some(sent) = in_flight
+            .current_forward
+            .as_mut()
+            .filter(|sent| !sent.is_withdrawn && self.router.site.can_withdraw)
         {
             sent.is_withdrawn = true;
-            self.out.withdraw(place, sent.attempt);
+            self.out.withdraw(index, sent.attempt);
         }
-        if g.current_forward.is_none() {
-            self.router.gets.remove(place);
-            self.out.release(place);
+        if in_flight.current_forward.is_none() {
+            self.router.gets.remove(index);
+            self.out.release(index);
         }
     }
 
     /// The client has gone or no longer waits for this GET.
-    pub fn on_abandoned(&mut self, place: GetIndex) {
-        let Some(g) = self.router.gets.get_mut(place) else { return };
-        g.is_answered = true;
-        self.free(place);
+    pub fn on_abandoned(&mut self, index: GetIndex) {
+        let Some(in_flight) = self.router.gets.get_mut(index) else { return };
+        in_flight.is_answered = true;
+        self.withdraw_or_release(index);
     }
 
     /// Answers the GET now, since the router is about to exit. A forward in flight may still run.
-    pub fn answer_now(&mut self, place: GetIndex) {
-        let Some(g) = self.router.gets.get_mut(place).filter(|g| !g.is_answered) else { return };
-        g.may_have_run =
-            g.may_have_run.or(g.current_forward.as_ref().map(|sent| (sent.forward.host, sent.sent_at)));
-        self.give_up(place);
+    pub fn answer_now(&mut self, index: GetIndex) {
+        let Some(in_flight) = self.router.gets.get_mut(index).filter(|get| !get.is_answered) else { return };
+        in_flight.may_have_run = in_flight
+            .may_have_run
+            .or(in_flight.current_forward.as_ref().map(|sent| (sent.forward.host, sent.sent_at)));
+        self.shed_or_error(index);
     }
 
     /// Takes the outcome of a forward, and decides again on a GET that has no final answer.
-    pub fn on_outcome(&mut self, place: GetIndex, o: &Outcome) {
-        let Some(g) = self.router.gets.get_mut(place) else { return };
-        let Some(sent) = g.current_forward.take_if(|s| s.attempt == o.attempt) else { return };
-        if !o.end.proves_not_run() && o.end != End::Returned && g.may_have_run.is_none() {
-            g.may_have_run = Some((sent.forward.host, sent.sent_at));
+    pub fn on_outcome(&mut self, index: GetIndex, outcome: &Outcome) {
+        let Some(in_flight) = self.router.gets.get_mut(index) else { return };
+        let Some(sent) = in_flight.current_forward.take_if(|sent| sent.attempt == outcome.attempt) else {
+            return;
+        };
+        if !outcome.end.proves_not_run() && outcome.end != End::Returned && in_flight.may_have_run.is_none() {
+            in_flight.may_have_run = Some((sent.forward.host, sent.sent_at));
         }
-        g.is_answered |= o.is_answered;
-        g.is_missing_at_source |= o.end == End::Miss;
-        let none_failed = matches!(o.end, End::Miss | End::Spoilt);
-        g.last_failed =
+        in_flight.is_answered |= outcome.is_answered;
+        in_flight.is_missing_at_source |= outcome.end == End::Miss;
+        let none_failed = matches!(outcome.end, End::Miss | End::Spoilt);
+        in_flight.last_failed =
             [sent.forward.host, sent.forward.source].map(|tried| Some(tried).filter(|_| !none_failed));
-        let InFlightGet {
-            get,
-            key,
-            sending_s: sending,
-            suspect_host: doubted,
-            is_answered: answered,
-            may_have_run,
-            ..
-        } = *g;
-        // Two hosts that err tell of the GET; one that errs where another returns, of that host.
-        g.suspect_host = if o.end == End::Errored { doubted.xor(Some(sent.forward.host)) } else { doubted };
-        if let Some(host) = doubted.filter(|&host| o.end == End::Returned && host != sent.forward.host) {
-            self.router.hosts[host].judge(self.now, false);
+        let InFlightGet { get, key, sending_s, suspect_host, is_answered, may_have_run, .. } = *in_flight;
+        // If two hosts answer errored, the GET is the cause. If one does and another returns, that host is the cause.
+        in_flight.suspect_host = if outcome.end == End::Errored {
+            suspect_host.xor(Some(sent.forward.host))
+        } else {
+            suspect_host
+        };
+        if let Some(host) =
+            suspect_host.filter(|&host| outcome.end == End::Returned && host != sent.forward.host)
+        {
+            self.router.hosts[host].record_outcome(self.now, false);
         }
-        self.learn(&sent, o, &get, key, sending);
+        self.update_stats(&sent, outcome, &get, key, sending_s);
         let ds = &self.router.services[get.ds];
-        if answered {
-            self.free(place);
+        if is_answered {
+            self.withdraw_or_release(index);
         } else if ds.is_idempotent || ds.is_tokened || may_have_run.is_none() || !self.router.guards_repeats {
-            self.decide(place);
+            self.decide(index);
         } else {
-            self.give_up(place);
+            self.shed_or_error(index);
         }
     }
 
-    /// What an outcome tells of the host, the source and the origin.
-    fn learn(&mut self, sent: &SentForward, o: &Outcome, get: &Get, key: u64, sending: f64) {
-        let (now, r, straight) = (self.now, &mut *self.router, sent.forward.host == sent.forward.source);
-        let source_failed = matches!(o.note, Note::SourceRefused | Note::SourceBroke | Note::OriginFailed)
-            || !r.site.has_fill_notes && matches!(o.end, End::Errored | End::Full);
-        let (cold, slowness) =
-            (r.slow_start_fraction(sent.forward.host, now).is_some(), r.slowness(sent.forward.host));
-        let h = &mut r.hosts[sent.forward.host];
-        h.link.in_flight = (h.link.in_flight - 1.0).max(0.0);
-        if matches!(o.end, End::Returned | End::Miss | End::Full) || source_failed {
-            (h.last_answer, h.answer_due) = (now, Duration::MAX);
+    /// Updates the state of the host, the source, the origin and the service from an outcome.
+    fn update_stats(&mut self, sent: &SentForward, outcome: &Outcome, get: &Get, key: u64, sending_s: f64) {
+        let (now, router, is_own_source) =
+            (self.now, &mut *self.router, sent.forward.host == sent.forward.source);
+        let source_failed =
+            matches!(outcome.note, Note::SourceRefused | Note::SourceBroke | Note::OriginFailed)
+                || !router.site.has_fill_notes && matches!(outcome.end, End::Errored | End::Full);
+        let (is_cold, slowness) = (
+            router.slow_start_fraction(sent.forward.host, now).is_some(),
+            router.slowness(sent.forward.host),
+        );
+        let host = &mut router.hosts[sent.forward.host];
+        host.link.in_flight = (host.link.in_flight - 1.0).max(0.0);
+        if matches!(outcome.end, End::Returned | End::Miss | End::Full) || source_failed {
+            (host.last_answer, host.answer_due) = (now, Duration::MAX);
         }
-        let unheard = now >= sent.overdue_at && h.last_answer < sent.sent_at;
-        match o.end {
-            End::Returned | End::Miss => h.judge(now, true),
-            End::Errored if source_failed && !straight => h.judge(now, true),
-            End::Full if cold => h.judge(now, false),
-            End::NoConnection | End::Reset => h.judge(now, false),
-            End::TimedOut | End::Withdrawn if unheard => h.judge(now, false),
+        let is_silent = now >= sent.overdue_at && host.last_answer < sent.sent_at;
+        match outcome.end {
+            End::Returned | End::Miss => host.record_outcome(now, true),
+            End::Errored if source_failed && !is_own_source => host.record_outcome(now, true),
+            End::Full if is_cold => host.record_outcome(now, false),
+            End::NoConnection | End::Reset => host.record_outcome(now, false),
+            End::TimedOut | End::Withdrawn if is_silent => host.record_outcome(now, false),
             _ => {}
         }
-        let (ds, spent) = (&r.services[get.ds], o.elapsed.as_secs_f64());
-        let (returned, wait) = (o.end == End::Returned, o.source_wait.as_secs_f64());
-        let in_time = spent <= ds.objective_s + ds.objective_stretch * sending;
-        let cut_short = matches!(o.end, End::TimedOut | End::Withdrawn);
-        let filled = matches!(o.note, Note::Filled | Note::FilledFromOrigin | Note::Joined);
-        let came = returned && (filled || ds.is_write);
-        let waited = (came && r.site.has_fill_notes).then_some(wait);
-        let told = FillOutcome {
-            in_time: in_time && came,
-            waited_s: waited,
+        let (ds, elapsed_s) = (&router.services[get.ds], outcome.elapsed.as_secs_f64());
+        let (is_returned, wait_s) = (outcome.end == End::Returned, outcome.source_wait.as_secs_f64());
+        let is_in_time = elapsed_s <= ds.objective_s + ds.objective_stretch * sending_s;
+        let is_cut_short = matches!(outcome.end, End::TimedOut | End::Withdrawn);
+        let is_filled = matches!(outcome.note, Note::Filled | Note::FilledFromOrigin | Note::Joined);
+        let is_completed = is_returned && (is_filled || ds.is_write);
+        let reported_wait_s = (is_completed && router.site.has_fill_notes).then_some(wait_s);
+        let fill_outcome = FillOutcome {
+            in_time: is_in_time && is_completed,
+            waited_s: reported_wait_s,
             objective_s: ds.objective_s,
-            duration: o.elapsed,
+            duration: outcome.elapsed,
         };
         if ds.is_write {
-            // What runs at the origin tells how long it takes there.
-            let tells = r.site.has_fill_notes && (returned || cut_short && !in_time);
-            if let Some(origin) = r.origin.filter(|&origin| tells && origin == sent.forward.source) {
-                r.hosts[origin].filled(&told, now);
+            // A request that runs at the origin shows how long it takes there.
+            let shows_origin = router.site.has_fill_notes && (is_returned || is_cut_short && !is_in_time);
+            if let Some(origin) =
+                router.origin.filter(|&origin| shows_origin && origin == sent.forward.source)
+            {
+                router.hosts[origin].record_fill(&fill_outcome, now);
             }
             return;
         }
-        let fills = f64::from(u8::from(sent.is_fill));
-        r.hosts[sent.forward.source].fills_in_flight -= fills;
-        r.hosts[r.origin.unwrap_or(sent.forward.source)].fills_in_flight -= sent.origin_fraction;
-        r.link.in_flight -= fills;
-        // Where the wait is untold, only what takes long beside any wait tells the link's pace.
-        let tells =
-            r.site.link_transfers == 0.0 && (r.site.has_fill_notes || sending > ds.objective_s * LONG);
-        if filled && returned && tells {
-            let pace = sending / (spent - wait).max(1e-3);
-            r.link.learn(
-                r.site.other_local_routers,
+        let fill_count = f64::from(u8::from(sent.is_fill));
+        router.hosts[sent.forward.source].fills_in_flight -= fill_count;
+        router.hosts[router.origin.unwrap_or(sent.forward.source)].fills_in_flight -= sent.origin_fraction;
+        router.location_link.in_flight -= fill_count;
+        // Where the wait is not reported, only a transfer that is long beside any wait shows the pace of the link.
+        let shows_pace = router.site.link_transfers == 0.0
+            && (router.site.has_fill_notes || sending_s > ds.objective_s * MIN_SENDING_OBJECTIVES);
+        if is_filled && is_returned && shows_pace {
+            let pace = sending_s / (elapsed_s - wait_s).max(1e-3);
+            router.location_link.record_pace(
+                router.site.other_local_routers,
                 pace,
-                if r.site.has_fill_notes { CROWDED } else { JAMMED },
+                if router.site.has_fill_notes { CONGESTED_PACE } else { CONGESTED_PACE_WITH_WAIT },
             );
         }
-        // What its client or host broke off early tells nothing of a source.
-        let failed = sent.is_fill && (source_failed || cut_short && !in_time);
-        let unfinished = sent.is_fill && cut_short && r.hosts[sent.forward.host].last_answer > sent.sent_at;
-        let hit = matches!(o.note, Note::Hit | Note::Stale);
-        if (filled || hit) && returned || unfinished {
-            r.hosts[if hit { sent.forward.host } else { sent.forward.source }]
+        // A fill that its client or host cancelled early shows nothing about the source.
+        let fill_failed = sent.is_fill && (source_failed || is_cut_short && !is_in_time);
+        let is_unfinished =
+            sent.is_fill && is_cut_short && router.hosts[sent.forward.host].last_answer > sent.sent_at;
+        let is_hit = matches!(outcome.note, Note::Hit | Note::Stale);
+        if (is_filled || is_hit) && is_returned || is_unfinished {
+            router.hosts[if is_hit { sent.forward.host } else { sent.forward.source }]
                 .latency
-                .record(spent, wait, sending, now);
+                .record(elapsed_s, wait_s, sending_s, now);
         }
-        let mut pressed = false;
-        if sent.is_fill && returned && r.site.has_fill_notes && Some(sent.forward.source) != r.origin {
-            r.reaches =
-                blended(r.reaches, f64::from(u8::from(o.note == Note::FilledFromOrigin)), REACHES_BLEND);
+        let mut is_congested = false;
+        if sent.is_fill
+            && is_returned
+            && router.site.has_fill_notes
+            && Some(sent.forward.source) != router.origin
+        {
+            router.origin_fraction = moving_average(
+                router.origin_fraction,
+                f64::from(u8::from(outcome.note == Note::FilledFromOrigin)),
+                ORIGIN_FRACTION_WEIGHT,
+            );
         }
-        if !sent.forward.only_if_cached && (filled && returned || failed) {
-            // What a parent had to ask the origin for tells of the origin; what was cut short, of either.
-            let asked = matches!(o.note, Note::FilledFromOrigin | Note::OriginFailed);
-            let origin = r.origin.filter(|&origin| r.site.has_fill_notes && origin != sent.forward.source);
-            if let Some(origin) = origin.filter(|_| asked || unfinished) {
-                pressed = r.hosts[origin].filled(&told, now);
+        if !sent.forward.only_if_cached && (is_filled && is_returned || fill_failed) {
+            // A fill that a parent had to request from the origin shows the state of the origin. One that was cut short shows
+            // that of either.
+            let asked_origin = matches!(outcome.note, Note::FilledFromOrigin | Note::OriginFailed);
+            let origin =
+                router.origin.filter(|&origin| router.site.has_fill_notes && origin != sent.forward.source);
+            if let Some(origin) = origin.filter(|_| asked_origin || is_unfinished) {
+                is_congested = router.hosts[origin].record_fill(&fill_outcome, now);
             }
-            if origin.is_none() || !asked {
-                pressed |= r.hosts[sent.forward.source].filled(&told, now);
+            if origin.is_none() || !asked_origin {
+                is_congested |= router.hosts[sent.forward.source].record_fill(&fill_outcome, now);
             }
         }
-        let (learnt, h) = (&mut r.service_stats[get.ds], &mut r.hosts[sent.forward.host]);
-        if returned {
-            r.sent_work += if cold { 0.0 } else { learnt.mean_sending_s };
-            r.seen.set(key, now);
+        let (stats, host) = (&mut router.service_stats[get.ds], &mut router.hosts[sent.forward.host]);
+        if is_returned {
+            router.work_since_wakeup_s += if is_cold { 0.0 } else { stats.mean_sending_s };
+            router.last_returned.set(key, now);
         }
-        if get.size_kb == 0.0 && returned {
-            // Parts of an object are alike: what one took, less the wait and the crowd, tells of the others.
-            let seen = (spent - wait).max(1e-3) * 2.0 / (sent.slowness + slowness);
+        if get.size_kb == 0.0 && is_returned {
+            // Parts of an object are alike: the time of one, without the wait and the effect of other transfers, predicts that of
+            // the others.
+            let observed_s = (elapsed_s - wait_s).max(1e-3) * 2.0 / (sent.slowness + slowness);
             let object = mix(get.object);
-            let known = r.sizes.get(object).filter(|&known| known < seen);
-            r.sizes.set(object, known.map_or(seen, |known| blended(known, seen, BLEND)));
-            learnt.sample_count += 1.0;
-            let weight = BLEND.max(1.0 / learnt.sample_count);
-            learnt.mean_sending_s = blended(learnt.mean_sending_s, seen, weight);
-            learnt.mean_service_s = blended(learnt.mean_service_s, (spent - wait).max(1e-3), weight);
+            let known_s = router.part_sending_s.get(object).filter(|&known| known < observed_s);
+            router.part_sending_s.set(
+                object,
+                known_s.map_or(observed_s, |known| moving_average(known, observed_s, SAMPLE_WEIGHT)),
+            );
+            stats.sample_count += 1.0;
+            let weight = SAMPLE_WEIGHT.max(1.0 / stats.sample_count);
+            stats.mean_sending_s = moving_average(stats.mean_sending_s, observed_s, weight);
+            stats.mean_service_s =
+                moving_average(stats.mean_service_s, (elapsed_s - wait_s).max(1e-3), weight);
         }
-        if hit && returned && get.size_kb > 0.0 {
-            h.link.learn(r.site.other_local_routers, sending / spent.max(1e-3), CROWDED);
+        if is_hit && is_returned && get.size_kb > 0.0 {
+            host.link.record_pace(
+                router.site.other_local_routers,
+                sending_s / elapsed_s.max(1e-3),
+                CONGESTED_PACE,
+            );
         }
-        let silent = unfinished && r.hosts[sent.forward.source].last_answer < sent.sent_at;
-        if filled && !straight {
-            let h = &mut r.hosts[sent.forward.source];
-            (h.last_answer, h.answer_due) = (now, Duration::MAX);
-            h.judge(now, true);
-        } else if (source_failed && o.note != Note::OriginFailed || silent) && !straight {
-            r.hosts[sent.forward.source].judge(now, false);
+        let is_source_silent = is_unfinished && router.hosts[sent.forward.source].last_answer < sent.sent_at;
+        if is_filled && !is_own_source {
+            let source = &mut router.hosts[sent.forward.source];
+            (source.last_answer, source.answer_due) = (now, Duration::MAX);
+            source.record_outcome(now, true);
+        } else if (source_failed && outcome.note != Note::OriginFailed || is_source_silent) && !is_own_source
+        {
+            router.hosts[sent.forward.source].record_outcome(now, false);
         }
-        let bad = filled && (pressed || !in_time && !r.site.has_fill_notes) || source_failed;
-        let by_origin = o.note == Note::FilledFromOrigin || filled && Some(sent.forward.source) == r.origin;
-        let from_origin = if r.site.has_fill_notes { by_origin } else { filled };
-        if from_origin || bad {
-            r.fills.add(1, u32::from(bad));
+        let is_bad_fill =
+            is_filled && (is_congested || !is_in_time && !router.site.has_fill_notes) || source_failed;
+        let is_reported_from_origin =
+            outcome.note == Note::FilledFromOrigin || is_filled && Some(sent.forward.source) == router.origin;
+        let is_from_origin = if router.site.has_fill_notes { is_reported_from_origin } else { is_filled };
+        if is_from_origin || is_bad_fill {
+            router.fill_counts.add(1, u32::from(is_bad_fill));
         }
-        r.missed(get.ds, u32::from(!hit));
+        router.record_misses(get.ds, u32::from(!is_hit));
     }
 
     /// Records one outcome of a host that followers or a late connection report. Only the host's last few outcomes count.
     pub fn on_host_report(&mut self, host: HostIndex, success: bool) {
-        self.router.hosts.get_mut(host).into_iter().for_each(|h| h.judge(self.now, success));
+        self.router.hosts.get_mut(host).into_iter().for_each(|host| host.record_outcome(self.now, success));
     }
 
     /// Records what followers report about a service's fills from one source: all fills, the late or failed ones among them,
     /// and those in flight.
-    pub fn on_fill_report(&mut self, ds: usize, source: HostIndex, all: u32, bad: u32, out: u32) {
-        let r = &mut *self.router;
-        let Some(h) = r.hosts.get_mut(source).filter(|_| ds < r.services.len()) else { return };
-        h.fills_in_flight = f64::from(out);
+    pub fn on_fill_report(&mut self, ds: usize, source: HostIndex, all: u32, bad: u32, in_flight: u32) {
+        let router = &mut *self.router;
+        let Some(host) = router.hosts.get_mut(source).filter(|_| ds < router.services.len()) else { return };
+        host.fills_in_flight = f64::from(in_flight);
         if all > 0 {
-            h.filled(&FillOutcome::untimed(bad * 2 <= all), self.now);
+            host.record_fill(&FillOutcome::untimed(bad * 2 <= all), self.now);
         }
-        r.fills.add(if Some(source) == r.origin { all } else { bad }, bad);
-        r.missed(ds, all);
+        router.fill_counts.add(if Some(source) == router.origin { all } else { bad }, bad);
+        router.record_misses(ds, all);
     }
 
     /// The host list is known up to this time: every start that the change log had by then was received.
     pub fn on_list_known(&mut self, until: Duration) {
-        self.router.known.list_known_until = self.router.known.list_known_until.max(until);
+        self.router.time_reference.list_known_until = self.router.time_reference.list_known_until.max(until);
     }
 
     /// Unix time is ahead of this router's own clock by at least this, according to two clocks.
     pub fn on_unix_offset(&mut self, offset: Duration) {
-        self.router.known.unix_offset = self.router.known.unix_offset.max(offset);
+        self.router.time_reference.unix_offset = self.router.time_reference.unix_offset.max(offset);
     }
 
     /// The process of a host has ended, or may have.
     pub fn on_process_ended(&mut self, host: HostIndex, at: Duration, evidence: EndEvidence) {
-        self.router.hosts.get_mut(host).into_iter().for_each(|h| h.lifecycle.on_ended(at, evidence));
+        self.router.hosts.get_mut(host).into_iter().for_each(|host| host.lifecycle.on_ended(at, evidence));
     }
 
     /// A connection to a host has come up.
     pub fn on_connected(&mut self, host: HostIndex) {
-        self.router.hosts.get_mut(host).into_iter().for_each(|h| h.lifecycle.on_connected(self.now));
+        self.router.hosts.get_mut(host).into_iter().for_each(|host| host.lifecycle.on_connected(self.now));
     }
 
     /// Takes an update of the host list.
     pub fn on_host_list<'e>(&mut self, kind: ListUpdate, entries: impl IntoIterator<Item = &'e HostEntry>) {
-        let (r, mut laid) = (&mut *self.router, matches!(kind, ListUpdate::Full | ListUpdate::Persisted));
-        if laid {
-            r.hosts.iter_mut().for_each(|h| h.entry.status = HostStatus::Removed);
+        let (router, mut needs_rebuild) =
+            (&mut *self.router, matches!(kind, ListUpdate::Full | ListUpdate::Persisted));
+        if needs_rebuild {
+            router.hosts.iter_mut().for_each(|host| host.entry.status = HostStatus::Removed);
         } else if kind == ListUpdate::Failed {
-            r.follow_at = self.now + REST;
+            router.subscribe_at = self.now + INITIAL_BACKOFF;
         }
         for entry in entries {
-            // What happens to caches elsewhere changes no ring here.
-            laid |= r.is_parent(entry) || r.site.serves(entry.zone) || entry.kind == r.site.origin_kind;
-            r.hosts.resize(r.hosts.len().max(entry.host + 1), HostState::default());
-            let (sharers, h) = (r.site.source_sharers(r.is_parent(entry)), &mut r.hosts[entry.host]);
-            let is_new = h.entry.id_hash != entry.id_hash;
+            // Changes to caches of zones that this router does not use change no ring here.
+            needs_rebuild |= router.is_parent(entry)
+                || router.site.serves(entry.zone)
+                || entry.kind == router.site.origin_kind;
+            router.hosts.resize(router.hosts.len().max(entry.host + 1), HostState::default());
+            let (sharers, host) =
+                (router.site.source_sharers(router.is_parent(entry)), &mut router.hosts[entry.host]);
+            let is_new = host.entry.id_hash != entry.id_hash;
             if is_new {
-                *h = HostState::default();
+                *host = HostState::default();
             }
-            let heard = match (is_new, kind) {
+            let context = match (is_new, kind) {
                 (true, ListUpdate::Persisted) => ListingContext::InitialList,
                 (true, _) => ListingContext::NewHost,
                 (false, _) => ListingContext::KnownHost,
             };
-            if h.lifecycle.on_listed(entry.start, heard, self.now) && !is_new {
-                // A fresh start: what was known of the old process does not count.
-                (h.recent_failures, h.failed_trials, h.link.capacity, h.recovered_at, h.fill_limiter) =
-                    Default::default();
+            if host.lifecycle.on_listed(entry.start, context, self.now) && !is_new {
+                // The process is new: the state that was learnt from the old one no longer applies.
+                (
+                    host.recent_failures,
+                    host.failed_trials,
+                    host.link.capacity,
+                    host.recovered_at,
+                    host.fill_limiter,
+                ) = Default::default();
             }
-            h.entry = *entry;
-            let others = entry.kind == r.site.origin_kind && r.site.has_fill_notes;
-            h.fill_limiter.start(sharers, others, r.chance.f64(), self.now);
+            host.entry = *entry;
+            let has_other_users = entry.kind == router.site.origin_kind && router.site.has_fill_notes;
+            host.fill_limiter.start(sharers, has_other_users, router.rng.f64(), self.now);
         }
-        if laid {
-            r.caches =
-                r.ring(|r, e| r.site.serves(e.zone) && !r.is_parent(e) && e.kind != r.site.origin_kind);
-            r.parents = r.ring(Router::is_parent);
-            r.origin = r.hosts.iter().position(|h| h.on() && h.entry.kind == r.site.origin_kind);
+        if needs_rebuild {
+            router.caches = router.build_ring(|router, entry| {
+                router.site.serves(entry.zone)
+                    && !router.is_parent(entry)
+                    && entry.kind != router.site.origin_kind
+            });
+            router.parents = router.build_ring(Router::is_parent);
+            router.origin = router
+                .hosts
+                .iter()
+                .position(|host| host.is_active() && host.entry.kind == router.site.origin_kind);
         }
     }
 
     /// Records a purge that was issued `age` ago.
-    pub fn on_purge(&mut self, named: PurgeKey, age: Duration) {
+    pub fn on_purge(&mut self, key: PurgeKey, age: Duration) {
         let at = self.now.saturating_sub(age);
-        self.router.purges.entry(named).and_modify(|known| *known = at.max(*known)).or_insert(at);
+        self.router.purges.entry(key).and_modify(|known| *known = at.max(*known)).or_insert(at);
     }
 
     /// Sets the time since which purges may have been missed; `None` if all are known.
     pub fn set_purges_unknown_since(&mut self, since: Option<Duration>) {
-        self.router.doubted = since;
+        self.router.purges_unknown_since = since;
     }
 
-    /// Sends on the fills whose turn it is; a place that is another GET's by now is passed over.
-    fn turns(&mut self) {
-        for place in std::mem::take(&mut self.router.waiting) {
-            match self.router.gets.get(place).and_then(|g| g.scheduled_fill) {
-                Some((_, at)) if at <= self.now => self.decide(place),
-                Some(_) => self.router.waiting.push(place),
+    /// Sends the scheduled fills that are due. An index that is another GET's by now is skipped.
+    fn send_scheduled_fills(&mut self) {
+        for index in std::mem::take(&mut self.router.scheduled_gets) {
+            match self.router.gets.get(index).and_then(|get| get.scheduled_fill) {
+                Some((_, start_at)) if start_at <= self.now => self.decide(index),
+                Some(_) => self.router.scheduled_gets.push(index),
                 None => {}
             }
         }
@@ -992,39 +1153,50 @@
 
     /// Handles the scheduled wake-up: drops purges that all caches have applied, and updates the running means.
     pub fn on_wakeup(&mut self) {
-        let (now, r) = (self.now, &mut *self.router);
-        r.waking = false;
-        r.purges.retain(|_, at| now < *at + r.site.max_purge_delay + r.site.time_resolution);
-        let warm = |h: &HostIndex| r.hosts[*h].is_usable(now) && r.slow_start_fraction(*h, now).is_none();
-        let warm = r.caches.members().filter(warm).count();
-        if warm > 0 {
-            let rate = std::mem::take(&mut r.sent_work) / warm as f64 / SWEEP.as_secs_f64();
-            r.carried = blended(r.carried, rate, SWEEP.div_duration_f64(WINDOW));
+        let (now, router) = (self.now, &mut *self.router);
+        router.is_wakeup_scheduled = false;
+        router.purges.retain(|_, purged_at| {
+            now < *purged_at + router.site.max_purge_delay + router.site.time_resolution
+        });
+        let is_warm = |host: &HostIndex| {
+            router.hosts[*host].is_usable(now) && router.slow_start_fraction(*host, now).is_none()
+        };
+        let warm_count = router.caches.members().filter(is_warm).count();
+        if warm_count > 0 {
+            let rate = std::mem::take(&mut router.work_since_wakeup_s)
+                / warm_count as f64
+                / WAKEUP_INTERVAL.as_secs_f64();
+            router.work_per_warm_cache =
+                moving_average(router.work_per_warm_cache, rate, WAKEUP_INTERVAL.div_duration_f64(WINDOW));
         }
-        r.link.pass();
-        let best =
-            r.caches.members().map(|c| r.hosts[c].latency.estimate_s(1.0, now)).fold(f64::MAX, f64::min);
-        for cache in r.caches.members() {
-            r.hosts[cache].link.pass();
-            r.hosts[cache].link.slowdown = r.hosts[cache].latency.estimate_s(1.0, now) / best;
+        router.location_link.update_mean();
+        let best_s = router
+            .caches
+            .members()
+            .map(|cache| router.hosts[cache].latency.estimate_s(1.0, now))
+            .fold(f64::MAX, f64::min);
+        for cache in router.caches.members() {
+            router.hosts[cache].link.update_mean();
+            router.hosts[cache].link.slowdown = router.hosts[cache].latency.estimate_s(1.0, now) / best_s;
         }
     }
 
-    /// Closes a round: fills whose turn it is, the design's return to idle, the next wake-up.
-    fn settle(&mut self) {
-        self.turns();
-        let (now, r) = (self.now, &mut *self.router);
-        r.busy = r.counts_busy();
-        for (learnt, ds) in r.service_stats.iter_mut().zip(&r.services).filter(|_| !r.busy) {
-            learnt.accepted_age = ds.fresh_time;
-            learnt.staleness_decay.decay(ds.fresh_time, now);
+    /// Ends a round: sends scheduled fills that are due, lets accepted ages return to the fresh times while the origin is not
+    /// busy, and requests the host list and the next wake-up if needed.
+    fn finish(&mut self) {
+        self.send_scheduled_fills();
+        let (now, router) = (self.now, &mut *self.router);
+        router.busy = router.is_origin_busy();
+        for (stats, ds) in router.service_stats.iter_mut().zip(&router.services).filter(|_| !router.busy) {
+            stats.accepted_age = ds.fresh_time;
+            stats.staleness_decay.decay(ds.fresh_time, now);
         }
-        if now >= r.follow_at {
-            r.follow_at = Duration::MAX;
+        if now >= router.subscribe_at {
+            router.subscribe_at = Duration::MAX;
             self.out.subscribe_host_list();
         }
-        if !std::mem::replace(&mut r.waking, true) {
-            self.out.schedule_wakeup(SWEEP);
+        if !std::mem::replace(&mut router.is_wakeup_scheduled, true) {
+            self.out.schedule_wakeup(WAKEUP_INTERVAL);
         }
     }
 }
