--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,14 +1,15 @@
-//! The decision module of a router. `Router::new` parses the settings. `Router::round(now, &mut out, |round| …)` is called
-//! once for all inputs that arrived, and the closure makes one method call on `Round` per input. The decisions go to the
-//! sink `out`. `interface.rs` defines the types and the trait `DecisionSink`. Times are since the router's start.
+//! The decision module of a router. `Router::new` parses the settings. `Router::round(now, &mut out, |round| …)` is
+//! called once for all inputs that arrived, and the closure makes one method call on `Round` per input. The decisions
+//! go to the sink `out`. `interface.rs` defines the types and the trait `DecisionSink`. Times are since the router's
+//! start.
 //!
-//! A consistent-hash ring selects the cache and the parent of a key. A windowed count of origin fills sets `busy`. While
-//! busy, the accepted age of a delivery service doubles at each miss, up to its upper bound. While not busy, stale copies
-//! are rejected and fresh hits may be renewed. Six mechanisms complement this:
+//! A consistent-hash ring selects the cache and the parent of a key. A windowed count of origin fills sets `busy`.
+//! While busy, the accepted age of a delivery service doubles at each miss, up to its upper bound. While not busy,
+//! stale copies are rejected and fresh hits may be renewed. Six mechanisms complement this:
 //! 1. health: a host is judged by the successes among its last few outcomes; silence counts as a failure;
 //! 2. slow start: a recently started host gets a growing fraction of its keys, within a budget;
-//! 3. fill source: the parent that the ring selects, or the next healthy one, with a limit on fills; otherwise the cache is
-//!    asked for what it holds;
+//! 3. fill source: the parent that the ring selects, or the next healthy one, with a limit on fills; otherwise the
+//!    cache is asked for what it holds;
 //! 4. silence and further forwards: a host with an overdue forward and no answer since is skipped;
 //! 5. load limit: a GET that would be late at its cache goes to the next cache on the ring or is shed;
 //! 6. retention rank: an object that was requested again outranks one that was requested once.
@@ -33,72 +34,77 @@
 const MIN_BAD_FILLS: u32 = 3;
 /// The origin counts as slow if more than one in this many fills of a window is slow or failed. Fewer may be chance.
 const BAD_FILL_DIVISOR: u32 = 4;
-/// Points on the ring for a host of mean weight. They even out the shares to about a tenth, and the ring still fits into the
-/// processor's cache.
+/// Points on the ring for a host of mean weight. They even out the shares to about a tenth, and the ring still fits
+/// into the processor's cache.
 const POINTS_PER_MEAN_HOST: f64 = 96.0;
-/// Largest number of hosts that a walk along a ring visits, for near hosts and for others each. With three in ten hosts failed,
-/// one key in 10^16 has 32 failed ones in a row. Where all hosts are cold and take a tenth of their keys, three keys in a hundred
-/// find no host.
+/// Largest number of hosts that a walk along a ring visits, for near hosts and for others each. With three in ten
+/// hosts failed, one key in 10^16 has 32 failed ones in a row. Where all hosts are cold and take a tenth of their
+/// keys, three keys in a hundred find no host.
 pub const MAX_WALKED_HOSTS: usize = 32;
-/// Number of recent outcomes by which a host is judged. At least half of them must be successes. The number is small so that
-/// a dead host is found in time.
+/// Number of recent outcomes by which a host is judged. At least half of them must be successes. The number is small
+/// so that a dead host is found in time.
 const JUDGED_OUTCOMES: u32 = 4;
-/// Time before a failed host gets one trial, doubled at each failed trial up to four times this value. It is also the time
-/// before a failed request for the host list is repeated.
+/// Time before a failed host gets one trial, doubled at each failed trial up to four times this value. It is also the
+/// time before a failed request for the host list is repeated.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(1000);
-/// A failed host without a success for longer than this may have been restarted, and is treated as cold on its return.
+/// A failed host without a success for longer than this may have been restarted, and is treated as cold on its
+/// return.
 const ASSUMED_RESTART_AFTER: Duration = Duration::from_millis(2000);
-/// Interval of the wake-ups, in which the running means are updated. It is far below any latency objective and causes few
-/// calls per second.
+/// Interval of the wake-ups, in which the running means are updated. It is far below any latency objective and causes
+/// few calls per second.
 const WAKEUP_INTERVAL: Duration = Duration::from_millis(25);
 /// Least time beyond the expected sending time before a forward is overdue: several round trips to a distant source.
 const OVERDUE_MARGIN_S: f64 = 0.25;
-/// Factor on the expected time up to which a host counts as slow, not as dead or impaired: a host at half the expected speed
-/// is not dead.
+/// Factor on the expected time up to which the silence or slowness of a host is tolerated. A host at half the expected
+/// speed is not dead.
 const TOLERATED_SLOWDOWN: f64 = 2.0;
 /// Largest number of forwards for one GET. A third failure shows that the cause is not a single host.
 pub(crate) const MAX_FORWARDS: u32 = 3;
 /// A host in slow start that has answered nothing for this long, with forwards in flight, may not be reading at all.
 const SLOW_START_SILENCE: Duration = Duration::from_millis(250);
-/// Fraction of the work that overloads a cold host which is sent to it. A burst, plus what drains in the meantime, makes twice
-/// the budget in one overload window.
+/// Budget of work for a cold host, as a fraction of the work that overloads it. A burst, plus what drains in the
+/// meantime, makes twice the budget in one overload window.
 const OVERLOAD_BUDGET_FRACTION: f64 = 0.5;
 /// Assumed weight of a cold host relative to the mean, where no weights are configured: it may be a small one.
 const MIN_RELATIVE_WEIGHT: f64 = 0.6;
-/// Fraction of the time left to the latency objective that a GET is planned to take. The rest is for what comes after it.
+/// Fraction of the time left to the latency objective that a GET is planned to take. The rest is for what comes after
+/// it.
 const USABLE_OBJECTIVE_FRACTION: f64 = 0.8;
-/// Relative pace of hits below which a cache's link is full. A cache with spare capacity is faster even if sizes vary.
+/// Relative pace of hits below which a cache's link is full. A cache with spare capacity is faster even if sizes
+/// vary.
 const CONGESTED_PACE: f64 = 0.7;
 /// The same for fills whose wait for the source is not reported and is part of their time.
 const CONGESTED_PACE_WITH_WAIT: f64 = 0.4;
-/// Time constant of the mean number of this router's transfers at a cache. Each other router is assumed to have as many there.
+/// Time constant of the mean number of this router's transfers at a cache. Each other router is assumed to have as
+/// many there.
 const LINK_LOAD_MEAN_TIME: Duration = Duration::from_millis(1000);
-/// Lower bound of the learnt capacity of a link, in transfers. It is below one, since a host may slow down many times over while
-/// nothing else is in flight to it.
+/// Lower bound of the learnt capacity of a link, in transfers. It is below one, since a host may slow down many times
+/// over while nothing else is in flight to it.
 const MIN_LINK_CAPACITY: f64 = 0.1;
-/// Weight of a transfer at full pace that shows more than the learnt capacity. It is low because capacity is lost faster than it
-/// is regained.
+/// Weight of a transfer at full pace that shows more than the learnt capacity. It is low because capacity is lost
+/// faster than it is regained.
 const CAPACITY_RISE_WEIGHT: f64 = 0.03;
 /// Least sending time, in latency objectives, beside which a wait that is not reported is small.
 const MIN_SENDING_OBJECTIVES: f64 = 0.5;
 /// Fraction of the latency objective that is assumed as the sending time until some were observed.
 const INITIAL_SENDING_FRACTION: f64 = 0.25;
-/// Fraction of the latency objective that is assumed as a request's work at a host in slow start until some was observed. Too
-/// large a value is safe.
+/// Fraction of the latency objective that is assumed as a request's work at a host in slow start until some was
+/// observed. Too large a value is safe.
 const INITIAL_WORK_FRACTION: f64 = 0.5;
-/// Weight of a new sample in a moving average, which makes it a memory of about ten outcomes.
+/// Weight of a new sample in a moving average. The average covers about ten outcomes.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Weight of a probable fill in the fraction of them that reaches the origin. Where one in twenty does, a memory of about fifty
-/// fills shows each.
+/// Weight of a probable fill in the fraction of them that reaches the origin. About one in twenty does. The average
+/// covers about fifty fills, among which each of these shows.
 const ORIGIN_FRACTION_WEIGHT: f64 = 0.02;
-/// Fraction of the time left that a fill may wait for its scheduled start, since what follows may take longer than expected.
+/// Fraction of the time left that a fill may wait for its scheduled start, since what follows may take longer than
+/// expected.
 const MAX_FILL_WAIT_FRACTION: f64 = 0.3;
-/// A copy that was returned within this time is assumed to be still cached. It is less than the time for which caches keep
-/// unused copies.
+/// A copy that was returned within this time is assumed to be still cached. It is less than the time for which caches
+/// keep unused copies.
 const ASSUMED_CACHED_TIME: Duration = Duration::from_millis(3000);
 /// Number of objects that are remembered as requested: a power of two, for some minutes of a busy router.
 const REMEMBERED_OBJECTS: usize = 1 << 16;
-/// Mean wait that a client is given when it is shed, randomized by half of it in both directions.
+/// Mean retry delay that a client receives when its GET is shed. It is randomized by half of it in both directions.
 const MEAN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Expected time of a request at a cache, in seconds.
@@ -153,22 +159,22 @@
 }
 
 impl LinkLoad {
-    /// Assumed number of transfers on the link with one more: those of this router, and its mean for each other router at this
-    /// location.
+    /// Assumed number of transfers on the link with one more: those of this router, and its mean for each other
+    /// router at this location.
     fn total_transfers(&self, other_routers: f64) -> f64 {
         self.in_flight + 1.0 + self.mean_in_flight * other_routers
     }
 
-    /// Factor on the time of a transfer because of the other transfers, from the learnt or the configured capacity. It is 1 if
-    /// neither is known and hits are not much slower than at the best cache.
+    /// Factor on the time of a transfer because of the other transfers, from the learnt or the configured capacity.
+    /// It is 1 if neither is known and hits are not much slower than at the best cache.
     fn slowness(&self, other_routers: f64, configured_capacity: f64) -> f64 {
         let capacity = if self.capacity > 0.0 { self.capacity } else { configured_capacity };
         let slowdown = if self.slowdown > TOLERATED_SLOWDOWN { self.slowdown } else { 1.0 };
         if capacity > 0.0 { (self.total_transfers(other_routers) / capacity).max(slowdown) } else { slowdown }
     }
 
-    /// Updates the learnt capacity of the link from the relative pace of a transfer: at once while the link is full, and slowly
-    /// upwards while it is not.
+    /// Updates the learnt capacity of the link from the relative pace of a transfer: at once while the link is full,
+    /// and slowly upwards while it is not.
     fn record_pace(&mut self, other_routers: f64, pace: f64, congested_pace: f64) {
         let observed_capacity = (self.total_transfers(other_routers) * pace).max(MIN_LINK_CAPACITY);
         if pace < congested_pace {
@@ -204,9 +210,9 @@
         count_recent(self.recent_failures, JUDGED_OUTCOMES) > JUDGED_OUTCOMES / 2
     }
 
-    /// Whether the host takes GETs. A failed host takes one trial at a time after its backoff. A silent host, with an overdue
-    /// forward and no answer since, is skipped. Forwards in flight to it are not withdrawn, since a fill may still be running
-    /// and a second one would cost the source twice.
+    /// Whether the host takes GETs. A failed host takes one trial at a time after its backoff. A silent host, with an
+    /// overdue forward and no answer since, is skipped. Forwards in flight to it are not withdrawn, since a fill may
+    /// still be running and a second one would cost the source twice.
     pub(crate) fn is_usable(&self, now: Duration) -> bool {
         let is_silent = self.link.in_flight > 0.0 && now >= self.answer_due;
         self.is_active()
@@ -219,8 +225,8 @@
         self.fill_limiter.on_completed(self.fills_in_flight, outcome, now)
     }
 
-    /// Records an outcome by which the host's health is judged. This protects GETs from dead, silent and unreachable hosts, and
-    /// from cold ones that refuse work. It does harm to hosts that are only overloaded.
+    /// Records an outcome by which the host's health is judged. This protects GETs from dead, silent and unreachable
+    /// hosts, and from cold ones that refuse work. It does harm to hosts that are only overloaded.
     fn record_outcome(&mut self, now: Duration, success: bool) {
         let had_failed = self.has_failed();
         self.recent_failures = self.recent_failures << 1 | u32::from(!success);
@@ -298,8 +304,8 @@
         self.hosts.get(host).map_or(0.0, |host| host.link.in_flight)
     }
 
-    /// Computes the busy flag: whether the fills exceed this router's share of the configured origin rate, or, if none is
-    /// configured, whether too many fills are slow or failed.
+    /// Computes the busy flag: whether the fills exceed this router's share of the configured origin rate, or, if
+    /// none is configured, whether too many fills are slow or failed.
     fn is_origin_busy(&self) -> bool {
         let (all, bad) = self.fill_counts.totals();
         match self.site.origin_fills_per_s {
@@ -366,8 +372,8 @@
         Some(fraction.min(1.0 - entry.withheld_fraction)).filter(|&fraction| fraction < 1.0)
     }
 
-    /// Expected work of a request at a host in slow start. While nothing was observed, as after a restart, it is a large
-    /// fraction of the latency objective.
+    /// Expected work of a request at a host in slow start. While nothing was observed, as after a restart, it is a
+    /// large fraction of the latency objective.
     fn request_work(&self, get: &Get) -> RequestWork {
         let (stats, ds) = (&self.service_stats[get.ds], &self.services[get.ds]);
         match (get.size_kb == 0.0, stats.sample_count == 0.0) {
@@ -395,8 +401,9 @@
         WorkShare { rate, window_s: self.site.overload_window_s }
     }
 
-    /// Whether the slow start of a host admits a request. A host that was lost and reached again is in slow start, too. It takes
-    /// a fixed fraction of its keys, the same at every router, within this router's share of its capacity.
+    /// Whether the slow start of a host admits a request. A host that was lost and reached again is in slow start,
+    /// too. It takes a fixed fraction of its keys, the same at every router, within this router's share of its
+    /// capacity.
     fn slow_start_admits(&mut self, host: HostIndex, key: u64, work: RequestWork, now: Duration) -> bool {
         let Some(fraction) = self.slow_start_fraction(host, now).filter(|_| self.limits_slow_start) else {
             return true;
@@ -407,7 +414,8 @@
             (self.is_near(&self.hosts[host].entry), self.is_parent(&self.hosts[host].entry));
         let host = &mut self.hosts[host];
         let takes_key = is_near && snapshot::is_in_key_fraction(key, host.entry.id_hash, fraction);
-        // What a silent host has not answered counts in addition to recent work, since it may read all of that at once.
+        // What a silent host has not answered counts in addition to recent work, since it may read all of that at
+        // once.
         let in_flight = if is_parent { host.fills_in_flight } else { host.link.in_flight };
         let is_silent = in_flight > 0.0 && now >= host.last_answer + SLOW_START_SILENCE;
         let fits = !is_silent
@@ -418,8 +426,8 @@
         takes_key && fits && host.slow_start.admits(work.alone_s, share, cold_since, phase, now)
     }
 
-    /// Checks the slow start against the work that is really sent to a host or, for a fill, requested from a parent. Returns
-    /// false if it exceeds the share.
+    /// Checks the slow-start limit against the work that is really sent to a host or, for a fill, requested from a parent.
+    /// Returns false if it exceeds the share.
     fn check_slow_start(&mut self, host: HostIndex, work_s: f64, now: Duration) -> bool {
         let Some(fraction) = self.slow_start_fraction(host, now) else { return true };
         let share = self.slow_start_share(host, fraction);
@@ -428,7 +436,8 @@
         is_within_share
     }
 
-    /// Number of times that a host in slow start got more than this router's share. Zero unless the limit is disabled.
+    /// Number of times that a host in slow start got more than this router's share. Zero unless the limit is
+    /// disabled.
     pub fn slow_start_violations(&self) -> u64 {
         self.slow_start_violations
     }
@@ -443,8 +452,8 @@
         self.guards_repeats = false;
     }
 
-    /// Whether a GET may be forwarded to a host. A tokened GET that may have run stays in the group that drops its repeats, and
-    /// within the window in which the group does so.
+    /// Whether a GET may be forwarded to a host. A tokened GET that may have run stays in the group that drops its
+    /// repeats, and within the window in which the group does so.
     fn may_forward_to(&self, in_flight: &InFlightGet, host: HostIndex, now: Duration) -> bool {
         let ds = &self.services[in_flight.get.ds];
         let Some((ran_at_host, _)) = in_flight.may_have_run.filter(|_| self.guards_repeats) else {
@@ -490,8 +499,8 @@
         self.hosts[host].link.slowness(self.site.other_local_routers, configured_capacity)
     }
 
-    /// Selects the first cache on the ring that can return the GET within `within_s` seconds. A cache that just failed the GET is
-    /// used only if there is no other. The flag tells whether any cache was open to the GET.
+    /// Selects the first cache on the ring that can return the GET within `within_s` seconds. A cache that just
+    /// failed the GET is used only if there is no other. The flag tells whether any cache was open to the GET.
     fn select_cache(&mut self, index: GetIndex, within_s: f64, now: Duration) -> (Option<HostIndex>, bool) {
         let ring = std::mem::take(&mut self.caches);
         let InFlightGet { get, key, sending_s, .. } = self.gets[index];
@@ -512,8 +521,9 @@
         (found, any_open)
     }
 
-    /// Selects the source of a fill: the first parent on the ring that can take it, those of the own hub first; otherwise the
-    /// origin. While busy, it is otherwise a parent at its limit, which the returned flag restricts to what it has cached.
+    /// Selects the source of a fill: the first parent on the ring that can take it, those of the own hub first;
+    /// otherwise the origin. While busy, it is otherwise a parent at its limit, which the returned flag restricts to
+    /// what it has cached.
     fn select_source(
         &mut self,
         index: GetIndex,
@@ -559,16 +569,16 @@
         })
     }
 
-    /// The origin, if fills from `source` may reach it. Its limit covers all fills that reach it, on any path. This protects an
-    /// origin behind many parents, of each of which a router sees too few fills. It does harm to what a parent has cached while
-    /// the origin is at its limit.
+    /// The origin, if `source` is another host whose fills may reach it. The origin's limit covers all fills that
+    /// reach it, on any path. This protects an origin behind many parents, of each of which a router sees too few
+    /// fills. It does harm to what a parent has cached while the origin is at its limit.
     fn origin_behind(&self, source: HostIndex) -> Option<HostIndex> {
         self.origin.filter(|&origin| origin != source && self.origin_fraction > 0.0)
     }
 
-    /// Schedules a fill at the ring's parent, otherwise at the origin, if the fill is then in time. Returns whether it was
-    /// scheduled, or `None` if it was before or if the limit there does not depend on time. This protects GETs that arrive
-    /// unevenly. It does harm by late fills where the source slows down in the meantime.
+    /// Schedules a fill at the ring's parent, otherwise at the origin, if the fill is then in time. Returns whether
+    /// it was scheduled, or `None` if it was before or if the limit there does not depend on time. This protects GETs
+    /// that arrive unevenly. It does harm by late fills where the source slows down in the meantime.
     fn schedule_fill(&mut self, index: GetIndex, within_s: f64, now: Duration) -> Option<bool> {
         let InFlightGet { key, sending_s, scheduled_fill, .. } = self.gets[index];
         let near_parent = self
@@ -601,8 +611,8 @@
             .for_each(|origin| self.hosts[origin].fill_limiter.on_sent(self.origin_fraction, now));
     }
 
-    /// Ranks an object that was requested again above one that was requested once, so that a scan cannot displace objects in
-    /// demand.
+    /// Ranks an object that was requested again above one that was requested once, so that a scan cannot displace
+    /// objects in demand.
     fn retention_rank(&mut self, key: u64) -> u8 {
         if self.last_returned.get(key).is_none() {
             self.last_returned.set(key, ZERO);
@@ -698,7 +708,8 @@
             return self.shed_or_error(index);
         }
         let write_origin = router.origin.filter(|&origin| is_write && last_failed[1] != Some(origin));
-        // While the origin is busy, fills for clients' retries have a budget, since first attempts can still be in time.
+        // While the origin is busy, fills for clients' retries have a budget, since first attempts can still be in
+        // time.
         let is_fill_refused = is_fill
             && sending_s
                 * router.location_link.slowness(router.site.other_local_routers, router.site.link_transfers)
@@ -718,8 +729,8 @@
         {
             match router.schedule_fill(index, within_s.min(time_left.as_secs_f64()), now) {
                 Some(true) => return,
-                // Neither a limit below one fill, as one share among many routers is, nor the origin has room. For the busy
-                // flag this counts as a failed fill.
+                // The source's limit, a share among many routers, is below one fill and has no room. If the origin has
+                // none either, this counts as a failed fill for the busy flag.
                 Some(false) => {
                     let is_full = |origin: HostIndex| {
                         let origin = &router.hosts[origin];
@@ -802,8 +813,8 @@
         self.out.forward(index, &forward);
     }
 
-    /// Answers a GET at once that is not forwarded any more. It is shed if it is idempotent, was proven not to have run, or is
-    /// tokened and all hosts drop its repeats. Otherwise it is errored.
+    /// Answers a GET at once that is not forwarded any more. It is shed if it is idempotent, was proven not to have
+    /// run, or is tokened and all hosts drop its repeats. Otherwise it is errored.
     fn shed_or_error(&mut self, index: GetIndex) {
         let router = &mut *self.router;
         let in_flight = &mut router.gets[index];
@@ -821,7 +832,8 @@
         self.withdraw_or_release(index);
     }
 
-    /// Withdraws the forward in flight of an answered GET. The GET's index is released only once no forward is in flight.
+    /// Withdraws the forward in flight of an answered GET. The GET's index is released only once no forward is in
+    /// flight.
     fn withdraw_or_release(&mut self, index: GetIndex) {
         let in_flight = &mut self.router.gets[index];
         if let Some(sent) = in_flight
@@ -977,8 +989,8 @@
             );
         }
         if !sent.forward.only_if_cached && (is_filled && is_returned || fill_failed) {
-            // A fill that a parent had to request from the origin shows the state of the origin. One that was cut short shows
-            // that of either.
+            // A fill that a parent had to request from the origin shows the state of the origin. One that was cut
+            // short shows that of either.
             let asked_origin = matches!(outcome.note, Note::FilledFromOrigin | Note::OriginFailed);
             let origin =
                 router.origin.filter(|&origin| router.site.has_fill_notes && origin != sent.forward.source);
@@ -995,8 +1007,8 @@
             router.last_returned.set(key, now);
         }
         if get.size_kb == 0.0 && is_returned {
-            // Parts of an object are alike: the time of one, without the wait and the effect of other transfers, predicts that of
-            // the others.
+            // Parts of an object are alike: the time of one, without the wait and the effect of other transfers,
+            // predicts that of the others.
             let observed_s = (elapsed_s - wait_s).max(1e-3) * 2.0 / (sent.slowness + slowness);
             let object = mix(get.object);
             let known_s = router.part_sending_s.get(object).filter(|&known| known < observed_s);
@@ -1037,13 +1049,14 @@
         router.record_misses(get.ds, u32::from(!is_hit));
     }
 
-    /// Records one outcome of a host that followers or a late connection report. Only the host's last few outcomes count.
+    /// Records one outcome of a host that followers or a late connection report. Only the host's last few outcomes
+    /// count.
     pub fn on_host_report(&mut self, host: HostIndex, success: bool) {
         self.router.hosts.get_mut(host).into_iter().for_each(|host| host.record_outcome(self.now, success));
     }
 
-    /// Records what followers report about a service's fills from one source: all fills, the late or failed ones among them,
-    /// and those in flight.
+    /// Records what followers report about a service's fills from one source: all fills, the late or failed ones
+    /// among them, and those in flight.
     pub fn on_fill_report(&mut self, ds: usize, source: HostIndex, all: u32, bad: u32, in_flight: u32) {
         let router = &mut *self.router;
         let Some(host) = router.hosts.get_mut(source).filter(|_| ds < router.services.len()) else { return };
@@ -1181,8 +1194,8 @@
         }
     }
 
-    /// Ends a round: sends scheduled fills that are due, lets accepted ages return to the fresh times while the origin is not
-    /// busy, and requests the host list and the next wake-up if needed.
+    /// Ends a round: sends scheduled fills that are due, lets accepted ages return to the fresh times while the
+    /// origin is not busy, and requests the host list and the next wake-up if needed.
     fn finish(&mut self) {
         self.send_scheduled_fills();
         let (now, router) = (self.now, &mut *self.router);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The inputs of the decision module and the sink that takes its decisions.
+//! The inputs of the decision module, and the sink that receives its decisions.
 
 use std::time::Duration;
 
@@ -13,9 +13,13 @@
 /// A client's GET as it was received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Get {
+    /// Index of the delivery service.
     pub ds: usize,
+    /// Hash of the object.
     pub object: u64,
+    /// Number of the part of the object.
     pub part: u32,
+    /// Hash of the group of objects, which can be purged together.
     pub group: u64,
     /// Size of the response in kilobytes; 0 if unknown.
     pub size_kb: f64,
@@ -30,16 +34,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     Returned,
+    /// The host had no copy to return.
     Miss,
     Errored,
+    /// The host refused the forward and did not run it.
     Full,
     TimedOut,
     NoConnection,
     Reset,
     Withdrawn,
     NeverSent,
-    /// The response cannot be used, or the connection was closed because of another request. The forward may have run.
-    /// The host is alive, and its health is not judged by this.
+    /// The response cannot be used, or the connection was closed because of another request. The forward may have
+    /// run. The host is alive, and its health is not judged by this.
     Spoilt,
 }
 
@@ -85,6 +91,7 @@
     /// The GET has its final answer, by this outcome or from an earlier one.
     pub is_answered: bool,
     pub note: Note,
+    /// Time for which the host waited for the source, as the host reports it.
     pub source_wait: Duration,
     pub load: LoadReport,
 }
@@ -141,7 +148,8 @@
 
 /// Hashes a host id with FNV-1a. The result is the same at every router.
 pub fn hash_host_id(id: &str) -> u64 {
-    id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    id.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 /// Converts milliseconds to a `Duration`. Negative and invalid values become zero.
@@ -175,23 +183,30 @@
     pub source: HostIndex,
     /// Zero means until the client gives up.
     pub timeout: Duration,
+    /// How strongly the cache is to retain the copy: a higher rank outranks a lower one.
     pub retention_rank: u8,
     /// Zero means the fresh time of the delivery service, or any age if it has none.
     pub accepted_age: Duration,
+    /// The host may join a fill of the same part that is in progress.
     pub join_fill: bool,
     /// The source returns only what it has cached.
     pub only_if_cached: bool,
+    /// Fresh hits may be renewed.
     pub renew: bool,
-    /// Latest time, since the router's start, at which the forward may begin: the end of the window of a tokened repeat.
-    /// Zero means no limit.
+    /// Latest time, since the router's start, at which the forward may begin: the end of the window of a tokened
+    /// repeat. Zero means no limit.
     pub start_deadline: Duration,
 }
 
 /// Receives the decisions, in order.
 pub trait DecisionSink {
+    /// Sends a forward for this GET.
     fn forward(&mut self, get: GetIndex, forward: &Forward);
-    fn withdraw(&mut self, get: GetIndex, hop: u32);
+    /// Withdraws the forward with this attempt index.
+    fn withdraw(&mut self, get: GetIndex, attempt: u32);
+    /// Answers the GET as shed. The client may retry after `retry_after`, if it is given.
     fn shed(&mut self, get: GetIndex, retry_after: Option<Duration>);
+    /// Answers the GET with an error.
     fn error(&mut self, get: GetIndex);
     /// No further decision concerns this GET. Its index may be reused.
     fn release(&mut self, get: GetIndex);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of a traffic router for a two-tier cache. No I/O happens here.
+//! Decision logic of a traffic router for a two-tier cache. This crate does no I/O.
 
 pub mod decide;
 pub mod host_life;
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -1,5 +1,5 @@
-//! The ring, the window of counts and the memory of keys, as plain structures. What goes in is decided
-//! elsewhere.
+//! Data structures of the decision module: the consistent-hash ring, the sliding counts and the table of recent
+//! values by key.
 
 use crate::interface::HostIndex;
 use myrtlegauge_recovery::bits::mix;
@@ -8,25 +8,26 @@
 use std::slice;
 use std::time::Duration;
 
-/// A point of a member: its place on the ring.
+/// A point of a member: its position on the ring, and the member's host.
 type Point = (u64, HostIndex);
 
-/// A consistent-hash ring. The members of the router's own hub and the others have their points apart, so that a walk
-/// over the near ones meets no others.
+/// A consistent-hash ring. The points of near members, which belong to the router's own hub, are kept apart from
+/// those of the others, so that a walk along the near ones visits no others.
 #[derive(Default)]
 pub struct Ring {
-    near: Half,
-    far: Half,
-    /// Each with its number of points.
+    near: RingPoints,
+    far: RingPoints,
+    /// The members with their numbers of points.
     members: Vec<(HostIndex, u64)>,
-    walked: Cell<WalkCost>,
+    walk_cost: Cell<WalkCost>,
 }
 
-/// The near or the far members' points, in order, and how many members have any.
+/// The sorted points of the near or of the far members.
 #[derive(Default)]
-struct Half {
+struct RingPoints {
     points: Vec<Point>,
-    members: usize,
+    /// Number of members that have points.
+    member_count: usize,
 }
 
 /// Cost of a ring's walks since it was built: hosts found, and points visited on the way to them.
@@ -48,14 +49,14 @@
 }
 
 impl Ring {
-    /// Builds a ring.
+    /// Builds a ring. A member without points is listed, but no walk finds it.
     pub fn build(members: impl Iterator<Item = RingMember>) -> Self {
         let mut ring = Self::default();
-        for RingMember { host, id_hash: mark, points, is_near: near } in members {
+        for RingMember { host, id_hash, points, is_near } in members {
             ring.members.push((host, points));
-            let half = if near { &mut ring.near } else { &mut ring.far };
-            half.members += usize::from(points > 0);
-            half.points.extend((0..points).map(|i| (mix(mark ^ mix(i)), host)));
+            let side = if is_near { &mut ring.near } else { &mut ring.far };
+            side.member_count += usize::from(points > 0);
+            side.points.extend((0..points).map(|number| (mix(id_hash ^ mix(number)), host)));
         }
         ring.near.points.sort_unstable();
         ring.far.points.sort_unstable();
@@ -74,79 +75,86 @@
 
     /// Cost of the walks on this ring since it was built.
     pub fn walk_cost(&self) -> WalkCost {
-        self.walked.get()
+        self.walk_cost.get()
     }
 
-    /// The near members, or the far ones, in the order in which they follow `key`: each once, and `MOST` at most.
-    pub fn walk<const MOST: usize>(&self, key: u64, near: bool) -> Walk<'_, MOST> {
-        let half = if near { &self.near } else { &self.far };
-        let (before, after) = half.points.split_at(half.points.partition_point(|&(at, _)| at < key));
+    /// Walks along the near members, or the far ones, in the order in which they follow `key`. Each is found once,
+    /// and at most `MAX_HOSTS` are found.
+    pub fn walk<const MAX_HOSTS: usize>(&self, key: u64, is_near: bool) -> Walk<'_, MAX_HOSTS> {
+        let side = if is_near { &self.near } else { &self.far };
+        let (before, after) =
+            side.points.split_at(side.points.partition_point(|&(position, _)| position < key));
         Walk {
             points: after.iter().chain(before),
-            met: [0; MOST],
-            count: 0,
-            most: half.members.min(MOST),
-            walked: &self.walked,
+            found: [0; MAX_HOSTS],
+            found_count: 0,
+            max_count: side.member_count.min(MAX_HOSTS),
+            walk_cost: &self.walk_cost,
         }
     }
 }
 
 /// A walk along a ring; see [`Ring::walk`].
-pub struct Walk<'a, const MOST: usize> {
+pub struct Walk<'a, const MAX_HOSTS: usize> {
     points: Chain<slice::Iter<'a, Point>, slice::Iter<'a, Point>>,
-    /// The first `count` are the members met.
-    met: [HostIndex; MOST],
-    count: usize,
-    most: usize,
-    walked: &'a Cell<WalkCost>,
+    /// The first `found_count` entries are the members found so far.
+    found: [HostIndex; MAX_HOSTS],
+    found_count: usize,
+    max_count: usize,
+    walk_cost: &'a Cell<WalkCost>,
 }
 
-impl<const MOST: usize> Iterator for Walk<'_, MOST> {
+impl<const MAX_HOSTS: usize> Iterator for Walk<'_, MAX_HOSTS> {
     type Item = HostIndex;
 
     fn next(&mut self) -> Option<HostIndex> {
-        if self.count == self.most {
+        if self.found_count == self.max_count {
             return None;
         }
-        let met = &self.met[..self.count];
-        let mut walked = self.walked.get();
-        let &(_, host) =
-            self.points.by_ref().inspect(|_| walked.points += 1).find(|(_, host)| !met.contains(host))?;
-        walked.hosts += 1;
-        self.walked.set(walked);
-        self.met[self.count] = host;
-        self.count += 1;
+        let found = &self.found[..self.found_count];
+        let mut walk_cost = self.walk_cost.get();
+        let &(_, host) = self
+            .points
+            .by_ref()
+            .inspect(|_| walk_cost.points += 1)
+            .find(|(_, host)| !found.contains(host))?;
+        walk_cost.hosts += 1;
+        self.walk_cost.set(walk_cost);
+        self.found[self.found_count] = host;
+        self.found_count += 1;
         Some(host)
     }
 }
 
-/// Two running counts over a sliding window of `SLOTS` slots.
+/// Counts of items, and of the marked ones among them, over a sliding window of `SLOTS` slots.
 pub struct SlidingCounts<const SLOTS: usize> {
     slots: [(u32, u32); SLOTS],
-    slot: usize,
-    long: Duration,
+    /// Number of the current slot, counted from the router's start.
+    current_slot: usize,
+    window: Duration,
 }
 
 impl<const SLOTS: usize> SlidingCounts<SLOTS> {
-    pub fn new(long: Duration) -> Self {
-        Self { slots: [(0, 0); SLOTS], slot: 0, long }
+    pub fn new(window: Duration) -> Self {
+        Self { slots: [(0, 0); SLOTS], current_slot: 0, window }
     }
 
     /// Moves the window to `now` and clears the slots that it has left.
     pub fn advance(&mut self, now: Duration) {
-        let slot = (now.as_millis() * SLOTS as u128 / self.long.as_millis()) as usize;
-        for old in (self.slot + 1..=slot).rev().take(SLOTS) {
-            self.slots[old % SLOTS] = (0, 0);
+        let slot = (now.as_millis() * SLOTS as u128 / self.window.as_millis()) as usize;
+        for cleared in (self.current_slot + 1..=slot).rev().take(SLOTS) {
+            self.slots[cleared % SLOTS] = (0, 0);
         }
-        self.slot = slot;
+        self.current_slot = slot;
     }
 
-    pub fn add(&mut self, counted: u32, marked: u32) {
-        let (all, with) = &mut self.slots[self.slot % SLOTS];
-        (*all, *with) = (all.saturating_add(counted), with.saturating_add(marked));
+    /// Adds to the current slot. `added_marked` is the number of marked items among `added_all`.
+    pub fn add(&mut self, added_all: u32, added_marked: u32) {
+        let (all, marked) = &mut self.slots[self.current_slot % SLOTS];
+        (*all, *marked) = (all.saturating_add(added_all), marked.saturating_add(added_marked));
     }
 
-    /// Totals over the window: all counted items, and the marked ones among them.
+    /// Totals over the window: all items, and the marked ones among them.
     pub fn totals(&self) -> (u32, u32) {
         self.slots
             .iter()
@@ -156,6 +164,7 @@
 
 /// Table of fixed size with the last value per key. A newer key replaces an older one in the same slot.
 pub struct DirectMappedTable<T> {
+    /// The tag of each slot's key, and the value.
     slots: Box<[(u32, T)]>,
 }
 
@@ -164,17 +173,18 @@
         Self { slots: vec![(0, T::default()); size].into() }
     }
 
-    fn mark(key: u64) -> u32 {
+    /// Tag by which a slot tells its key from others. It is never zero, the tag of an empty slot.
+    fn tag(key: u64) -> u32 {
         (key >> 32) as u32 | 1
     }
 
     pub fn get(&self, key: u64) -> Option<T> {
-        let (mark, noted) = self.slots[key as usize % self.slots.len()];
-        (mark == Self::mark(key)).then_some(noted)
+        let (tag, value) = self.slots[key as usize % self.slots.len()];
+        (tag == Self::tag(key)).then_some(value)
     }
 
-    pub fn set(&mut self, key: u64, noted: T) {
+    pub fn set(&mut self, key: u64, value: T) {
         let size = self.slots.len();
-        self.slots[key as usize % size] = (Self::mark(key), noted);
+        self.slots[key as usize % size] = (Self::tag(key), value);
     }
 }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshot of a router's current decisions, for followers that route GETs elsewhere: the proxies of a control service. The
-//! rules that map a key to its host are defined here, for the decision module and for its followers.
+//! Snapshot of a router's current decisions, for followers that route GETs themselves: the proxies of a control
+//! service. The rules that map a key to its host are defined here, both for the decision module and for followers.
 
 use crate::decide::{MAX_FORWARDS, MAX_WALKED_HOSTS, Round, Router};
 use crate::interface::{DecisionSink, HostIndex};
@@ -7,33 +7,34 @@
 use myrtlegauge_recovery::bits::{mix, unit_fraction};
 use std::time::Duration;
 
-/// Key of an object's part. It gives the position on the ring, and decides which keys a cold host takes.
+/// Key of a part of an object. It is the position on the ring, and decides whether a cold host takes the part.
 pub fn ring_key(object: u64, part: u32) -> u64 {
     mix(mix(object) ^ mix(u64::from(part) + 1))
 }
 
-/// Whether a key is in the fraction, from 0 to 1, of its keys that a host takes. The result is the same at every router.
-pub fn is_in_key_fraction(key: u64, mark: u64, part: f64) -> bool {
-    unit_fraction(key ^ mark) <= part
+/// Whether a host that takes a fraction of its keys, from 0 to 1, takes this key. The result is the same at every
+/// router.
+pub fn is_in_key_fraction(key: u64, id_hash: u64, fraction: f64) -> bool {
+    unit_fraction(key ^ id_hash) <= fraction
 }
 
 /// Rounds the fraction of its keys that a host takes down to a step. Followers are updated once per step.
-pub fn quantize_fraction(part: f64) -> f64 {
+pub fn quantize_fraction(fraction: f64) -> f64 {
     const STEPS: f64 = 64.0;
-    (part * STEPS).floor() / STEPS
+    (fraction * STEPS).floor() / STEPS
 }
 
-/// Age of the oldest copy that may be returned: the accepted age, limited by the last purge. With a purge it is never zero,
-/// since zero means any age.
+/// Age of the oldest copy that may be returned: the accepted age, limited by the last purge. With a purge it is never
+/// zero, since zero means any age.
 pub fn max_accepted_age(
-    accepted: Duration,
+    accepted_age: Duration,
     purged_at: Option<Duration>,
     now: Duration,
-    tick: Duration,
+    time_resolution: Duration,
 ) -> Duration {
-    let Some(at) = purged_at else { return accepted };
-    let limit = now.saturating_sub(at + tick).max(Duration::from_micros(10));
-    if accepted == Duration::ZERO { limit } else { limit.min(accepted) }
+    let Some(purged_at) = purged_at else { return accepted_age };
+    let limit = now.saturating_sub(purged_at + time_resolution).max(Duration::from_micros(10));
+    if accepted_age == Duration::ZERO { limit } else { limit.min(accepted_age) }
 }
 
 /// A host's share of the keys of its tier.
@@ -41,6 +42,7 @@
 pub struct HostShare {
     pub host: HostIndex,
     pub id_hash: u64,
+    /// Number of points on the ring of its tier.
     pub points: u64,
     /// Fraction of its keys that the host takes: 1 if warm, 0 for none.
     pub key_fraction: f64,
@@ -54,8 +56,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ForwardTerms {
     pub accepted_age: Duration,
+    /// Fresh hits may be renewed.
     pub renew: bool,
-    /// A GET may be forwarded again however its forward ended. Otherwise only after an end that proves that nothing ran.
+    /// A GET may be forwarded again however its forward ended. Otherwise only after an end that proves that nothing
+    /// ran.
     pub is_repeatable: bool,
 }
 
@@ -66,7 +70,8 @@
     pub caches: Vec<HostShare>,
     pub parents: Vec<HostShare>,
     pub origin: Option<HostShare>,
-    /// Above a source's limit the origin is not asked. The source is asked for what it has cached.
+    /// When a parent is at its limit of fills, the parent is asked for what it has cached, and the origin is not
+    /// asked.
     pub is_origin_spared: bool,
     pub max_forwards: u32,
 }
@@ -81,28 +86,31 @@
 }
 
 impl RoutingTable {
-    /// The cache of a key. The cache that failed it is selected only if no other takes the key.
-    pub fn cache(&self, key: u64, tried: Option<HostIndex>) -> Option<&HostShare> {
-        let other = self.caches.candidates(key).find(|share| Some(share.host) != tried);
-        other.or_else(|| self.caches.candidates(key).next())
+    /// Selects the cache of a key. The cache that failed the GET is selected only if no other takes the key.
+    pub fn cache(&self, key: u64, failed_cache: Option<HostIndex>) -> Option<&HostShare> {
+        let other_cache = self.caches.candidates(key).find(|share| Some(share.host) != failed_cache);
+        other_cache.or_else(|| self.caches.candidates(key).next())
     }
 
-    /// Where a miss of a key is filled from, and whether only with what is held there. None: the cache gives what it
-    /// holds. Guards sources from fills over their bound, as `room` counts those out; over a parent's bound the
-    /// origin is asked, unless it is spared.
+    /// Selects the source that a miss of a key is filled from. The flag restricts the source to what it has cached.
+    /// `None` means that the cache returns what it has cached. `has_room` tells whether a host is below its limit of
+    /// fills, which protects sources from more fills than that. If the parent is at its limit, the origin is asked,
+    /// unless it is spared.
     pub fn source(
         &self,
         key: u64,
-        tried: Option<HostIndex>,
-        room: impl Fn(&HostShare) -> bool,
+        failed_source: Option<HostIndex>,
+        has_room: impl Fn(&HostShare) -> bool,
     ) -> Option<(HostIndex, bool)> {
-        let parent = self.parents.candidates(key).find(|share| Some(share.host) != tried);
-        if let Some(open) = parent.filter(|share| room(share)) {
-            return Some((open.host, false));
+        let parent = self.parents.candidates(key).find(|share| Some(share.host) != failed_source);
+        if let Some(available) = parent.filter(|share| has_room(share)) {
+            return Some((available.host, false));
         }
-        let spared = parent.is_some() && self.is_origin_spared;
-        let origin = self.origin.filter(|share| !spared && room(share));
-        origin.map(|share| (share.host, false)).or(parent.filter(|_| spared).map(|share| (share.host, true)))
+        let is_origin_spared = parent.is_some() && self.is_origin_spared;
+        let origin = self.origin.filter(|share| !is_origin_spared && has_room(share));
+        origin
+            .map(|share| (share.host, false))
+            .or(parent.filter(|_| is_origin_spared).map(|share| (share.host, true)))
     }
 }
 
@@ -117,32 +125,35 @@
     /// Builds the ring from the shares.
     pub fn build(shares: Vec<HostShare>) -> Self {
         let member = |(host, share): (usize, &HostShare)| {
-            let &HostShare { id_hash: mark, points, is_near: near, .. } = share;
-            RingMember { host, id_hash: mark, points, is_near: near }
+            let &HostShare { id_hash, points, is_near, .. } = share;
+            RingMember { host, id_hash, points, is_near }
         };
         Self { ring: Ring::build(shares.iter().enumerate().map(member)), shares }
     }
 
-    /// Updates the shares for the same hosts and points. Returns false if the ring has to be rebuilt.
+    /// Updates the shares if the hosts and their points are the same. Otherwise nothing changes, and the result is
+    /// false: the ring has to be rebuilt.
     pub fn update_fractions(&mut self, shares: &[HostShare]) -> bool {
-        let laid = |share: &HostShare| (share.host, share.id_hash, share.points, share.is_near);
-        let fits = shares.len() == self.shares.len()
-            && self.shares.iter().zip(shares).all(|(a, b)| laid(a) == laid(b));
-        if fits {
+        let ring_fields = |share: &HostShare| (share.host, share.id_hash, share.points, share.is_near);
+        let is_same_ring = shares.len() == self.shares.len()
+            && self.shares.iter().zip(shares).all(|(old, new)| ring_fields(old) == ring_fields(new));
+        if is_same_ring {
             self.shares.copy_from_slice(shares);
         }
-        fits
+        is_same_ring
     }
 
-    /// The hosts that take a key, each once, in the order in which they are asked: near ones first. The walk along the ring is
-    /// as long as in the decision module (`MAX_WALKED_HOSTS` near ones and as many others). A draining host still has its
-    /// points here and counts.
+    /// The hosts that take a key, each once, in the order in which they are asked: near ones first. As in the
+    /// decision module, the walk visits at most `MAX_WALKED_HOSTS` near hosts and as many others. Here a draining
+    /// host still has its points and counts towards these.
     pub fn candidates(&self, key: u64) -> impl Iterator<Item = &HostShare> {
-        let of = move |near: bool| {
-            let shares = self.ring.walk::<MAX_WALKED_HOSTS>(key, near).map(|at| &self.shares[at]);
-            shares.filter(move |s| s.key_fraction > 0.0 && is_in_key_fraction(key, s.id_hash, s.key_fraction))
+        let takers = move |is_near: bool| {
+            let shares = self.ring.walk::<MAX_WALKED_HOSTS>(key, is_near).map(|index| &self.shares[index]);
+            shares.filter(move |share| {
+                share.key_fraction > 0.0 && is_in_key_fraction(key, share.id_hash, share.key_fraction)
+            })
         };
-        of(true).chain(of(false))
+        takers(true).chain(takers(false))
     }
 }
 
@@ -152,30 +163,30 @@
         [self.caches.walk_cost(), self.parents.walk_cost()]
     }
 
-    /// Snapshot of this router's current decisions on hosts and services. The trial of a failed host is the fraction of its
-    /// keys that a newly started host gets, since a follower cannot send just one GET.
+    /// Takes a snapshot of this router's current decisions on hosts and services. For its trial a failed host gets
+    /// the fraction of keys of a newly started host, since a follower cannot send just one GET.
     pub fn routing_snapshot(&self, now: Duration) -> RoutingSnapshot {
         let share = |(host, points): (HostIndex, u64)| {
-            let h = &self.hosts[host];
-            let near = self.is_near(&h.entry);
-            let warmth = if h.has_failed() {
-                Some(self.slow_start_settings(&h.entry).initial_fraction)
+            let state = &self.hosts[host];
+            let is_near = self.is_near(&state.entry);
+            let slow_start_fraction = if state.has_failed() {
+                Some(self.slow_start_settings(&state.entry).initial_fraction)
             } else {
                 self.slow_start_fraction(host, now)
             };
-            let takes = h.is_usable(now) && (warmth.is_none() || near);
-            let part = if takes { warmth.unwrap_or(1.0) } else { 0.0 };
+            let takes_keys = state.is_usable(now) && (slow_start_fraction.is_none() || is_near);
+            let key_fraction = if takes_keys { slow_start_fraction.unwrap_or(1.0) } else { 0.0 };
             HostShare {
                 host,
-                id_hash: h.entry.id_hash,
+                id_hash: state.entry.id_hash,
                 points,
-                key_fraction: part,
-                is_near: near,
-                max_fills: h.fill_limiter.limit(),
+                key_fraction,
+                is_near,
+                max_fills: state.fill_limiter.limit(),
             }
         };
-        let terms = self.services.iter().zip(&self.service_stats).map(|(ds, learnt)| ForwardTerms {
-            accepted_age: if ds.is_write { Duration::ZERO } else { learnt.accepted_age },
+        let terms = self.services.iter().zip(&self.service_stats).map(|(ds, stats)| ForwardTerms {
+            accepted_age: if ds.is_write { Duration::ZERO } else { stats.accepted_age },
             renew: !self.busy && !ds.is_write,
             is_repeatable: ds.is_idempotent,
         });
@@ -193,11 +204,11 @@
 impl<D: DecisionSink> Round<'_, D> {
     /// Sets the number of routers that share the sources, from the current membership view.
     pub fn set_router_count(&mut self, routers: f64) {
-        let r = &mut *self.router;
-        r.site.set_router_count(routers);
-        for host in &mut r.hosts {
-            let is_parent = Some(host.entry.kind) == r.site.parent_kind;
-            host.fill_limiter.set_sharers(r.site.source_sharers(is_parent));
+        let router = &mut *self.router;
+        router.site.set_router_count(routers);
+        for host in &mut router.hosts {
+            let is_parent = Some(host.entry.kind) == router.site.parent_kind;
+            host.fill_limiter.set_sharers(router.site.source_sharers(is_parent));
         }
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! State of hosts, of GETs in flight and of delivery services: plain records.
+//! State of hosts, of GETs in flight and of delivery services, as records without logic.
 
 use crate::host_life::{HostLifecycle, ProcessStart, TimeReference};
 use crate::interface::{Forward, Get, HostEntry, HostIndex};
@@ -11,6 +11,7 @@
     pub entry: HostEntry,
     /// Recent outcomes, the newest in the lowest bit; 1 is a failure.
     pub recent_failures: u32,
+    /// When a failed host may get its next trial.
     pub backoff_until: Duration,
     /// Failed trials since the last success.
     pub failed_trials: u32,
@@ -18,35 +19,38 @@
     pub last_answer: Duration,
     /// When the first forward since the last answer is overdue.
     pub answer_due: Duration,
-    /// When the host was reached again after it had been lost; zero if never.
+    /// When the host last returned after an absence in which it may have been restarted; zero if never.
     pub recovered_at: Duration,
     /// Starts and ends of its process, from the host list and from connections.
     pub lifecycle: HostLifecycle,
-    /// Forwards in flight to the host, and the capacity of its link.
+    /// Forwards in flight to the host, and the learnt capacity of its link.
     pub link: LinkLoad,
     /// Forwards in flight that are probably fills from this host, and the limit on them.
     pub fills_in_flight: f64,
     pub fill_limiter: FillLimiter,
     /// Latency of fills from this host, and of hits at a cache.
     pub latency: LatencyEstimator,
-    /// Work sent while the host is cold.
+    /// Limits the work sent while the host is cold.
     pub slow_start: SlowStart,
-    /// Checks that the work that was sent stayed within the slow start.
+    /// Checks that the work sent while the host is cold stays within this router's share.
     pub slow_start_check: SlowStartCheck,
 }
 
 impl HostState {
-    /// Since when the host may be cold: it started then, or was lost and reached again.
-    pub fn process_start(&self, known: &TimeReference, now: Duration) -> ProcessStart {
-        self.lifecycle.process_start(self.recovered_at, known, now)
+    /// Since when the host may be cold: its process started then, or it was lost and reached again.
+    pub fn process_start(&self, time_reference: &TimeReference, now: Duration) -> ProcessStart {
+        self.lifecycle.process_start(self.recovered_at, time_reference, now)
     }
 }
 
-/// Transfers of this router on a link, their recent mean, and the learnt capacity in transfers; 0 if not learnt yet.
+/// Load on a link.
 #[derive(Clone, Default)]
 pub struct LinkLoad {
+    /// Transfers of this router.
     pub in_flight: f64,
+    /// Their recent mean.
     pub mean_in_flight: f64,
+    /// The learnt capacity in transfers; 0 if not learnt yet.
     pub capacity: f64,
     /// Recent duration of hits here, relative to that at the best cache.
     pub slowdown: f64,
@@ -59,11 +63,11 @@
     pub forward: Forward,
     pub sent_at: Duration,
     pub overdue_at: Duration,
-    /// The forward is probably not a hit and is counted as a fill.
+    /// The forward is probably a miss and is counted as a fill.
     pub is_fill: bool,
-    /// Fraction of a fill that the forward counts as at the origin, which its source may have to ask.
+    /// Fraction of a fill that the forward counts as at the origin, since its source may have to ask the origin.
     pub origin_fraction: f64,
-    /// Slowness of the host when the forward was sent.
+    /// Factor on the sending time at the host because of its load, as estimated when the forward was sent.
     pub slowness: f64,
     pub is_withdrawn: bool,
 }
@@ -73,6 +77,7 @@
 pub struct InFlightGet {
     pub get: Get,
     pub taken_at: Duration,
+    /// Position on the rings.
     pub key: u64,
     /// Expected sending time.
     pub sending_s: f64,
@@ -82,8 +87,7 @@
     pub last_failed: [Option<HostIndex>; 2],
     /// The first forward that may have run, and when it was sent.
     pub may_have_run: Option<(HostIndex, Duration)>,
-    /// Host that answered errored for no reason of its source. It counts as a failure of the host only if another host
-    /// returns this GET.
+    /// Host that answered errored. This counts as a failure of the host only if another host returns this GET.
     pub suspect_host: Option<HostIndex>,
     pub is_missing_at_source: bool,
     /// The source of a scheduled fill, and when it may be sent.
@@ -94,12 +98,14 @@
 /// Statistics of a delivery service.
 #[derive(Default)]
 pub struct ServiceStats {
-    /// The accepted age. It equals the fresh time while the origin is not busy, and returns to it for one key after another.
+    /// The accepted age. It equals the fresh time while the origin is not busy.
     pub accepted_age: Duration,
+    /// Returns the accepted age to the fresh time for one key after another.
     pub staleness_decay: StalenessDecay,
-    /// Mean sending time, and the number of parts that it was learnt from: the first ones have more weight.
+    /// Mean sending time, and the number of parts that it was learnt from. The first parts have more weight.
     pub mean_sending_s: f64,
     pub sample_count: f64,
-    /// Mean time that a part takes at its cache, without the wait for the source and with the effect of other transfers.
+    /// Mean time that a part takes at its cache. It includes the effect of other transfers, but not the wait for the
+    /// source.
     pub mean_service_s: f64,
 }
