--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A small location to decide in, a writer that prints decisions as a trace, and a rig of sockets around the
-//! dispatcher. Each test file uses a part of it.
+//! Shared test support: settings and hosts of a small location, a decision sink that prints decisions as a trace, a rig
+//! for the router alone, and a rig that runs the dispatcher against stub servers on loopback sockets. Each test file uses
+//! a part of it.
 #![allow(dead_code)]
 
 use calloop::EventLoop;
@@ -22,10 +23,10 @@
     Duration::from_millis(ms)
 }
 
-/// Delivery services: 0 video (never stale), 1 photo (fresh 5 s, grace 30 s), 2 confirm (a write, never twice),
-/// 3 order (tokened).
+/// Settings with four delivery services: 0 video (never stale), 1 photo (fresh 5 s, grace 30 s), 2 confirm (a write, never
+/// run twice), 3 order (tokened).
 pub fn settings() -> Value {
-    let class = |name: &str, effect: &str, aim: f64| json!({"name": name, "aim_ms": aim, "aim_stretch": 1.6, "deadline_ms": 5000.0, "effect": effect, "group": "zone", "key_ttl_ms": 5000.0});
+    let class = |name: &str, effect: &str, aim_ms: f64| json!({"name": name, "aim_ms": aim_ms, "aim_stretch": 1.6, "deadline_ms": 5000.0, "effect": effect, "group": "zone", "key_ttl_ms": 5000.0});
     json!({
         "balancers": 2, "my_zone": 1, "discovery": "pushed", "weights": "rough", "resolution_ms": 2.0,
         "zones": ["hub", "edge"], "kinds": ["standard", "parent", "origin"],
@@ -42,36 +43,37 @@
     })
 }
 
-pub fn entry(host: HostIndex) -> HostEntry {
-    let (kind, zone, units) = match host {
+/// Returns the list entry of an active host: a cache of weight 4 in zone 1, or a parent of weight 30 or the origin in zone 0.
+pub fn host_entry(host: HostIndex) -> HostEntry {
+    let (kind, zone, weight) = match host {
         ORIGIN => (2, 0, 1.0),
         host if PARENTS.contains(&host) => (1, 0, 30.0),
         _ => (0, 1, 4.0),
     };
-    let mark = 0x9e37_79b9 * (host as u64 + 1);
+    let id_hash = 0x9e37_79b9 * (host as u64 + 1);
     HostEntry {
         host,
-        id_hash: mark,
+        id_hash,
         status: HostStatus::Active,
         start: Start::default(),
         zone,
         cell: 0,
         kind,
-        weight: units,
+        weight,
         withheld_fraction: 0.0,
     }
 }
 
-/// Prints each decision on a line of its own.
+/// A decision sink that prints each decision on a line of its own.
 #[derive(Default)]
 pub struct Trace {
     pub lines: String,
-    pub last: Option<Forward>,
-    pub sent: Vec<HostIndex>,
+    pub last_forward: Option<Forward>,
+    pub forwarded_to: Vec<HostIndex>,
     now: Duration,
 }
 
-pub fn name(host: HostIndex) -> String {
+pub fn host_name(host: HostIndex) -> String {
     match host {
         ORIGIN => "origin".into(),
         host if PARENTS.contains(&host) => format!("parent {host}"),
@@ -80,163 +82,166 @@
 }
 
 impl Trace {
-    fn line(&mut self, line: Arguments<'_>) {
+    fn push_line(&mut self, line: Arguments<'_>) {
         writeln!(self.lines, "{:>6} ms  {line}", self.now.as_millis()).unwrap();
     }
 
-    pub fn say(&mut self, text: &str) {
+    /// Adds a comment line to the trace.
+    pub fn comment(&mut self, text: &str) {
         writeln!(self.lines, "# {text}").unwrap();
     }
 }
 
 impl DecisionSink for Trace {
-    fn forward(&mut self, get: GetIndex, f: &Forward) {
-        self.last = Some(*f);
-        self.sent.push(f.host);
-        let (host, source) = (name(f.host), name(f.source));
-        let age = if f.accepted_age.is_zero() { "any age".into() } else { format!("{:?}", f.accepted_age) };
-        let renew = if f.renew { ", renew" } else { "" };
-        let held = if f.only_if_cached { " if it holds it" } else { "" };
-        self.line(format_args!(
-            "GET {get} to {host}, from {source}{held}, rank {}, {age}{renew}",
-            f.retention_rank
+    fn forward(&mut self, get: GetIndex, forward: &Forward) {
+        self.last_forward = Some(*forward);
+        self.forwarded_to.push(forward.host);
+        let (host, source) = (host_name(forward.host), host_name(forward.source));
+        let age = if forward.accepted_age.is_zero() {
+            "any age".into()
+        } else {
+            format!("{:?}", forward.accepted_age)
+        };
+        let renew = if forward.renew { ", renew" } else { "" };
+        let only_if_cached = if forward.only_if_cached { " if it holds it" } else { "" };
+        self.push_line(format_args!(
+            "GET {get} to {host}, from {source}{only_if_cached}, rank {}, {age}{renew}",
+            forward.retention_rank
         ));
     }
 
-    fn withdraw(&mut self, get: GetIndex, hop: u32) {
-        self.line(format_args!("GET {get} withdrawn, forward {hop}"));
+    fn withdraw(&mut self, get: GetIndex, attempt: u32) {
+        self.push_line(format_args!("GET {get} withdrawn, forward {attempt}"));
     }
 
     fn shed(&mut self, get: GetIndex, retry_after: Option<Duration>) {
-        let told = if retry_after.is_some() { "with" } else { "without" };
-        self.line(format_args!("GET {get} shed, {told} a time to come back"));
+        let preposition = if retry_after.is_some() { "with" } else { "without" };
+        self.push_line(format_args!("GET {get} shed, {preposition} a time to come back"));
     }
 
     fn error(&mut self, get: GetIndex) {
-        self.line(format_args!("GET {get} errored"));
+        self.push_line(format_args!("GET {get} errored"));
     }
 
     fn release(&mut self, get: GetIndex) {
-        self.line(format_args!("GET {get} settled"));
+        self.push_line(format_args!("GET {get} settled"));
     }
 
     fn schedule_wakeup(&mut self, _after: Duration) {}
 
     fn subscribe_host_list(&mut self) {
-        self.line(format_args!("follow the list"));
+        self.push_line(format_args!("follow the list"));
     }
 
     fn log(&mut self, line: Arguments<'_>) {
-        self.line(format_args!("log: {line}"));
+        self.push_line(format_args!("log: {line}"));
     }
 }
 
-/// A router at its location, with a clock.
-pub struct Day {
+/// A router with a trace of its decisions and a clock that the test sets.
+pub struct RouterRig {
     pub router: Router,
     pub trace: Trace,
     pub now: Duration,
 }
 
-impl Day {
+impl RouterRig {
     pub fn new(settings: Value) -> Self {
         let router = Router::new(settings.as_object().unwrap(), 7).unwrap();
-        let mut day = Self { router, trace: Trace::default(), now: ms(100_000) };
-        day.list(ListUpdate::Persisted, &(0..6).map(entry).collect::<Vec<_>>());
-        day
+        let mut rig = Self { router, trace: Trace::default(), now: ms(100_000) };
+        rig.apply_host_list(ListUpdate::Persisted, &(0..6).map(host_entry).collect::<Vec<_>>());
+        rig
     }
 
-    pub fn round(&mut self, said: impl FnOnce(&mut myrtlegauge::decide::Round<'_, Trace>)) {
+    /// Delivers events to the router in one round at the current time.
+    pub fn round(&mut self, events: impl FnOnce(&mut myrtlegauge::decide::Round<'_, Trace>)) {
         self.trace.now = self.now;
-        self.router.round(self.now, &mut self.trace, said);
+        self.router.round(self.now, &mut self.trace, events);
     }
 
-    pub fn list(&mut self, kind: ListUpdate, entries: &[HostEntry]) {
+    pub fn apply_host_list(&mut self, kind: ListUpdate, entries: &[HostEntry]) {
         self.round(|round| round.on_host_list(kind, entries));
     }
 
-    /// Takes a GET of 100 ms sending time; it gets the place that is free.
-    pub fn take(&mut self, ds: usize, object: u64) -> GetIndex {
-        let mut place = 0;
+    /// Starts a GET whose object takes 100 ms to send and returns the index that it got.
+    pub fn start_get(&mut self, ds: usize, object: u64) -> GetIndex {
+        let mut get_index = 0;
         let get = Get { ds, object, size_kb: 1000.0, viewer_timeout: ms(5000), ..Get::default() };
         self.round(|round| {
-            place = round.next_get_index();
+            get_index = round.next_get_index();
             round.on_get(get);
         });
-        place
-    }
-
-    pub fn end(&mut self, place: GetIndex, hop: u32, end: End, note: Note, spent: u64) {
-        let closed = end == End::Returned;
-        let waited = if note == Note::Hit { 0 } else { spent.saturating_sub(100) };
-        let (spent, source_wait) = (ms(spent), ms(waited));
-        let o = Outcome {
-            attempt: hop,
-            end,
-            elapsed: spent,
-            is_answered: closed,
-            note,
-            source_wait,
-            load: LoadReport::default(),
-        };
-        self.round(|round| round.on_outcome(place, &o));
+        get_index
+    }
+
+    /// Reports the outcome of a forward. All of its time beyond the 100 ms of sending counts as the wait for the source, unless
+    /// it is a hit.
+    pub fn end_forward(&mut self, get: GetIndex, attempt: u32, end: End, note: Note, elapsed_ms: u64) {
+        let is_answered = end == End::Returned;
+        let source_wait_ms = if note == Note::Hit { 0 } else { elapsed_ms.saturating_sub(100) };
+        let (elapsed, source_wait) = (ms(elapsed_ms), ms(source_wait_ms));
+        let outcome =
+            Outcome { attempt, end, elapsed, is_answered, note, source_wait, load: LoadReport::default() };
+        self.round(|round| round.on_outcome(get, &outcome));
     }
 
-    pub fn after(&mut self, by: u64) {
-        self.now += ms(by);
+    /// Advances the clock and wakes the router up.
+    pub fn advance(&mut self, duration_ms: u64) {
+        self.now += ms(duration_ms);
         self.round(|round| round.on_wakeup());
     }
 }
 
-/// A dispatcher on loopback sockets with stand-ins for what it talks to, all in one thread. Whatever a stand-in or
-/// the client reads becomes a line of the trace; times are left out.
-pub struct Rig {
-    turns: EventLoop<'static, Dispatcher>,
+/// A dispatcher on loopback sockets with stub hosts, a stub change log and clients, all in one thread. Each message that a
+/// stub or a client reads becomes a line of the trace, with times masked.
+pub struct DispatcherRig {
+    event_loop: EventLoop<'static, Dispatcher>,
     pub dispatcher: Dispatcher,
-    listen: SocketAddr,
-    hosts: Vec<StandIn>,
-    changelog: StandIn,
+    listen_address: SocketAddr,
+    hosts: Vec<StubServer>,
+    changelog: StubServer,
     clients: Vec<Client>,
-    /// The host that read a command last.
-    pub last: String,
-    /// The clients read nothing.
-    pub deaf: bool,
+    /// The stub that was the last to read a command.
+    pub last_reader: String,
+    /// While set, the clients read nothing.
+    pub clients_paused: bool,
     pub trace: String,
 }
 
-/// A host or the change log.
-struct StandIn {
+/// A stub of a host or of the change log.
+struct StubServer {
     name: String,
     listener: Option<TcpListener>,
     address: SocketAddr,
-    streams: Vec<Stream>,
-    clogged: Option<(Socket, Vec<TcpStream>)>,
-    /// It reads nothing for now, and holds little that it has not read.
-    hangs: bool,
-    /// When it went on to read.
-    woke: Option<Instant>,
+    connections: Vec<StubConnection>,
+    /// Set while the accept queue is full: the listening socket and the connections that fill its queue.
+    full_queue: Option<(Socket, Vec<TcpStream>)>,
+    /// While set, the stub reads nothing. With shrunk receive buffers it then holds only little unread data.
+    reading_paused: bool,
+    /// When the stub last began to read again.
+    resumed_at: Option<Instant>,
 }
 
-/// A connection there, what came and was not yet understood, and what still has to go out.
-struct Stream {
+/// A connection to a stub, with the bytes not yet parsed and those not yet sent.
+struct StubConnection {
     socket: TcpStream,
     inbound: Vec<u8>,
     outbound: Vec<u8>,
-    /// Ids that it read, and when it last did.
-    ids: Vec<String>,
-    read_at: Option<Instant>,
+    /// The ids of the requests read on this connection.
+    request_ids: Vec<String>,
+    last_read_at: Option<Instant>,
 }
 
 struct Client {
     stream: TcpStream,
     inbound: Vec<u8>,
-    texts: BTreeMap<u16, String>,
+    partial_answers: BTreeMap<u16, String>,
     closed: bool,
-    /// It does not close because the other side has.
-    rests: bool,
+    /// The client keeps its side open after the dispatcher has closed the connection.
+    ignores_peer_close: bool,
 }
 
-impl StandIn {
+impl StubServer {
     fn new(name: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
@@ -245,55 +250,61 @@
             name,
             listener: Some(listener),
             address,
-            streams: Vec::new(),
-            clogged: None,
-            hangs: false,
-            woke: None,
+            connections: Vec::new(),
+            full_queue: None,
+            reading_paused: false,
+            resumed_at: None,
         }
     }
 }
 
-pub const ROOM: Room = Room { descriptors: 1024, memory: 192 << 20 };
+pub const DEFAULT_LIMITS: Room = Room { descriptors: 1024, memory: 192 << 20 };
 
-/// The whole list, as a start is told it.
-fn listing(hosts: &[StandIn]) -> Value {
-    let lines: Vec<_> = hosts.iter().map(|host| line(host, "active", 0)).collect();
+/// The event that gives a starting dispatcher the full host list.
+fn full_host_list(hosts: &[StubServer]) -> Value {
+    let lines: Vec<_> = hosts.iter().map(|host| host_line(host, "active", 0)).collect();
     json!({"seq": 1, "results": [{"seq": 1, "fleet": {"index": 0, "snapshot": true, "endpoints": lines}}]})
 }
 
 pub const HOSTS: [&str; 6] = ["cache-0", "cache-1", "cache-2", "parent-3", "parent-4", "origin-5"];
 
-impl Rig {
+impl DispatcherRig {
     pub fn new() -> Self {
-        Self::with(settings(), ROOM)
+        Self::with_settings(settings(), DEFAULT_LIMITS)
     }
 
-    pub fn with(settings: Value, room: Room) -> Self {
-        let hosts: Vec<_> = HOSTS.iter().map(|name| StandIn::new((*name).into())).collect();
-        let known = listing(&hosts);
-        Self::over(hosts, settings, room, &known)
+    /// Starts the dispatcher with the full host list already known.
+    pub fn with_settings(settings: Value, limits: Room) -> Self {
+        let hosts: Vec<_> = HOSTS.iter().map(|name| StubServer::new((*name).into())).collect();
+        let known = full_host_list(&hosts);
+        Self::with_all_guards(hosts, settings, limits, &known)
     }
 
-    /// One that is told these events at its start.
-    pub fn knowing(settings: Value, room: Room, known: &Value) -> Self {
-        Self::over(HOSTS.iter().map(|name| StandIn::new((*name).into())).collect(), settings, room, known)
+    /// Starts the dispatcher with these change log events as already known.
+    pub fn with_known_events(settings: Value, limits: Room, known: &Value) -> Self {
+        Self::with_all_guards(
+            HOSTS.iter().map(|name| StubServer::new((*name).into())).collect(),
+            settings,
+            limits,
+            known,
+        )
     }
 
-    /// One that lacks a guard.
-    pub fn without(guard: Rule, settings: Value) -> Self {
-        let hosts = HOSTS.iter().map(|name| StandIn::new((*name).into())).collect::<Vec<_>>();
-        let known = listing(&hosts);
-        Self::guarded(hosts, settings, ROOM, &known, Guards::without(guard))
+    /// Starts the dispatcher without one of its guards.
+    pub fn without_guard(guard: Rule, settings: Value) -> Self {
+        let hosts = HOSTS.iter().map(|name| StubServer::new((*name).into())).collect::<Vec<_>>();
+        let known = full_host_list(&hosts);
+        Self::start(hosts, settings, DEFAULT_LIMITS, &known, Guards::without(guard))
     }
 
-    fn over(hosts: Vec<StandIn>, settings: Value, room: Room, known: &Value) -> Self {
-        Self::guarded(hosts, settings, room, known, Guards::ALL)
+    fn with_all_guards(hosts: Vec<StubServer>, settings: Value, limits: Room, known: &Value) -> Self {
+        Self::start(hosts, settings, limits, known, Guards::ALL)
     }
 
-    fn guarded(hosts: Vec<StandIn>, settings: Value, room: Room, known: &Value, guards: Guards) -> Self {
+    fn start(hosts: Vec<StubServer>, settings: Value, limits: Room, known: &Value, guards: Guards) -> Self {
         let known = known.to_string();
-        let changelog = StandIn::new("change log".into());
-        let turns = EventLoop::try_new().unwrap();
+        let changelog = StubServer::new("change log".into());
+        let event_loop = EventLoop::try_new().unwrap();
         let startup = Startup {
             zones: None,
             member: None,
@@ -303,34 +314,45 @@
             known: serde_json::from_str(&known).unwrap(),
             facts: settings.as_object().unwrap(),
             seed: 7,
-            room,
+            room: limits,
             guards,
         };
-        let dispatcher = Dispatcher::start(turns.handle(), startup).unwrap();
-        let listen = dispatcher.address().unwrap();
-        let (clients, last, deaf, trace) = (Vec::new(), String::new(), false, String::new());
-        let mut rig = Self { turns, dispatcher, listen, hosts, changelog, clients, last, deaf, trace };
-        rig.client();
+        let dispatcher = Dispatcher::start(event_loop.handle(), startup).unwrap();
+        let listen_address = dispatcher.address().unwrap();
+        let (clients, last_reader, clients_paused, trace) = (Vec::new(), String::new(), false, String::new());
+        let mut rig = Self {
+            event_loop,
+            dispatcher,
+            listen_address,
+            hosts,
+            changelog,
+            clients,
+            last_reader,
+            clients_paused,
+            trace,
+        };
+        rig.connect_client();
         rig
     }
 
-    /// One more client connection.
-    pub fn client(&mut self) -> usize {
-        let stream = TcpStream::connect(self.listen).unwrap();
+    /// Opens another client connection and returns its index.
+    pub fn connect_client(&mut self) -> usize {
+        let stream = TcpStream::connect(self.listen_address).unwrap();
         stream.set_nonblocking(true).unwrap();
-        // What a test writes is there when it is written, and not once earlier bytes were acknowledged.
+        // Without this, Nagle's algorithm would hold a write back until earlier bytes are acknowledged.
         stream.set_nodelay(true).unwrap();
         self.clients.push(Client {
             stream,
             inbound: Vec::new(),
-            texts: BTreeMap::new(),
+            partial_answers: BTreeMap::new(),
             closed: false,
-            rests: false,
+            ignores_peer_close: false,
         });
         self.clients.len() - 1
     }
 
-    pub fn say(&mut self, text: &str) {
+    /// Adds a comment line to the trace.
+    pub fn comment(&mut self, text: &str) {
         writeln!(self.trace, "# {text}").unwrap();
     }
 
@@ -338,83 +360,89 @@
         self.clients[client].stream.write_all(bytes).unwrap();
     }
 
-    /// A GET of the first client: its number, its delivery service, and what it sends with it.
-    pub fn get(&mut self, number: u16, ds: &str, extra: &[(&str, &str)]) {
-        self.write(0, &asked(number, ds, extra, b""));
+    /// Sends a request from the first client; `extra` replaces or adds parameters.
+    pub fn send_get(&mut self, number: u16, ds: &str, extra: &[(&str, &str)]) {
+        self.write(0, &object_request(number, ds, extra, b""));
     }
 
-    fn host(&mut self, name: &str) -> &mut StandIn {
+    fn host_mut(&mut self, name: &str) -> &mut StubServer {
         self.hosts.iter_mut().find(|host| host.name == name).unwrap()
     }
 
-    /// An answer to the GET of a number by the host that read last.
-    pub fn answer(&mut self, number: u16, word: &str, fields: &str, body: &str) {
+    /// Answers the request with this number, from the host that was the last to read a command.
+    pub fn answer(&mut self, number: u16, status: &str, fields: &str, body: &str) {
         let id = format!("{number:016x}");
-        let copy = matches!(word, "200" | "304") && !fields.contains("rev=");
-        let fields =
-            &format!("{fields}{}", if copy { ",rev=4be0c1927d55a6f3,since=1764576000123" } else { "" });
-        let told: String =
-            [&id, word, fields, body].map(|part| format!("${}\r\n{part}\r\n", part.len())).concat();
-        let last = self.last.clone();
-        let streams = &mut self.host(&last).streams;
-        let at = streams.iter().rposition(|stream| stream.ids.contains(&id)).unwrap_or(streams.len() - 1);
-        streams[at].outbound.extend_from_slice(format!("*4\r\n{told}").as_bytes());
-    }
-
-    pub fn raw(&mut self, bytes: &[u8]) {
-        let last = self.last.clone();
-        let stream = self.host(&last).streams.iter_mut().max_by_key(|stream| stream.read_at);
+        let needs_version = matches!(status, "200" | "304") && !fields.contains("rev=");
+        let fields = &format!(
+            "{fields}{}",
+            if needs_version { ",rev=4be0c1927d55a6f3,since=1764576000123" } else { "" }
+        );
+        let encoded: String =
+            [&id, status, fields, body].map(|part| format!("${}\r\n{part}\r\n", part.len())).concat();
+        let host = self.last_reader.clone();
+        let connections = &mut self.host_mut(&host).connections;
+        let index = connections
+            .iter()
+            .rposition(|stream| stream.request_ids.contains(&id))
+            .unwrap_or(connections.len() - 1);
+        connections[index].outbound.extend_from_slice(format!("*4\r\n{encoded}").as_bytes());
+    }
+
+    /// Sends raw bytes from the host that was the last to read a command, on the connection that it last read from.
+    pub fn answer_raw(&mut self, bytes: &[u8]) {
+        let host = self.last_reader.clone();
+        let stream = self.host_mut(&host).connections.iter_mut().max_by_key(|stream| stream.last_read_at);
         stream.unwrap().outbound.extend_from_slice(bytes);
     }
 
-    /// Closes all that a host has open; a dead one refuses from then on.
-    pub fn close(&mut self, host: &str, dead: bool) {
-        let host = self.host(host);
-        host.streams.clear();
-        host.listener = host.listener.take().filter(|_| !dead);
+    /// Closes all connections of a host, and its listener too if it is to refuse connections from then on.
+    pub fn close_host(&mut self, host: &str, refuses: bool) {
+        let host = self.host_mut(host);
+        host.connections.clear();
+        host.listener = host.listener.take().filter(|_| !refuses);
     }
 
-    /// Resets all that a host has open; it takes connections as before.
-    pub fn reset_all(&mut self, host: &str) {
-        for Stream { socket, .. } in self.host(host).streams.drain(..) {
+    /// Resets all connections of a host, which still accepts new ones.
+    pub fn reset_host(&mut self, host: &str) {
+        for StubConnection { socket, .. } in self.host_mut(host).connections.drain(..) {
             socket2::SockRef::from(&socket).set_linger(Some(Duration::ZERO)).unwrap();
         }
     }
 
-    /// From now on no connection to a host comes up, nor is one refused: its queue is full.
-    pub fn clog(&mut self, host: &str) {
-        clog(self.host(host));
+    /// Fills a host's accept queue: from now on connections to it are neither established nor refused.
+    pub fn fill_accept_queue(&mut self, host: &str) {
+        fill_accept_queue(self.host_mut(host));
     }
 
-    /// What waited in the queue of a clogged host comes up, and it takes connections again; the system asks a second time
-    /// for those that found the queue full.
-    pub fn unclog(&mut self, host: &str) {
-        let host = if host == "change log" { &mut self.changelog } else { self.host(host) };
-        let (full, waiting) = host.clogged.take().expect("it was clogged");
+    /// Empties the full accept queue of a stub, which then accepts connections again. Connections that found the queue full are
+    /// established when the system sends their SYN again.
+    pub fn empty_accept_queue(&mut self, host: &str) {
+        let host = if host == "change log" { &mut self.changelog } else { self.host_mut(host) };
+        let (full, waiting) = host.full_queue.take().expect("the accept queue is not full");
         drop(waiting);
         full.listen(64).unwrap();
         full.set_nonblocking(true).unwrap();
         host.listener = Some(full.into());
-        // Those that clogged it are among its first.
+        // The connections that filled the queue are accepted and dropped first.
         while host.listener.as_ref().is_some_and(|listener| listener.accept().is_ok()) {}
     }
 
-    /// The change log's queue is full from now on, and what it had open is closed.
-    pub fn clog_changelog(&mut self) {
-        clog(&mut self.changelog);
+    /// Closes the change log's connections and fills its accept queue.
+    pub fn fill_changelog_accept_queue(&mut self) {
+        fill_accept_queue(&mut self.changelog);
     }
 
-    /// A host reads no more, or goes on.
-    pub fn hang(&mut self, host: &str, hangs: bool) {
-        let host = self.host(host);
-        if host.hangs && !hangs {
-            host.woke = Some(Instant::now());
+    /// Makes a host stop reading, or read again.
+    pub fn set_reading_paused(&mut self, host: &str, paused: bool) {
+        let host = self.host_mut(host);
+        if host.reading_paused && !paused {
+            host.resumed_at = Some(Instant::now());
         }
-        host.hangs = hangs;
+        host.reading_paused = paused;
     }
 
-    /// Each host reads little at once, for connections to come.
-    pub fn narrow(&mut self) {
+    /// Shrinks the receive buffers and segments of all hosts, for connections accepted from now on.
+    pub fn shrink_receive_buffers(&mut self) {
         for host in &mut self.hosts {
             let listener = host.listener.as_ref().unwrap();
             socket2::SockRef::from(listener).set_recv_buffer_size(4096).unwrap();
@@ -422,39 +450,39 @@
         }
     }
 
-    /// What a host has read by now of commands that name an id.
-    pub fn reads_of(&self, host: &str, id: u16) -> usize {
-        let (id, mark) = (format!("serve {id:016x}"), format!("{host} reads "));
-        self.trace.lines().filter(|line| line.starts_with(&mark) && line.contains(&id)).count()
+    /// Counts the forwards with this id that a host has read so far.
+    pub fn forwards_read_by(&self, host: &str, id: u16) -> usize {
+        let (id, prefix) = (format!("serve {id:016x}"), format!("{host} reads "));
+        self.trace.lines().filter(|line| line.starts_with(&prefix) && line.contains(&id)).count()
     }
 
-    /// What all hosts have read by now of commands that name an id.
-    pub fn all_reads_of(&self, id: u16) -> usize {
-        HOSTS.iter().map(|host| self.reads_of(host, id)).sum()
+    /// Counts the forwards with this id that all hosts have read so far.
+    pub fn forwards_read(&self, id: u16) -> usize {
+        HOSTS.iter().map(|host| self.forwards_read_by(host, id)).sum()
     }
 
-    /// The client's connection is reset.
-    pub fn reset(&mut self, client: usize) {
+    /// Resets a client's connection.
+    pub fn reset_client(&mut self, client: usize) {
         let stream = &self.clients[client].stream;
         socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
-        // The number stays, with a connection to nowhere.
+        // The client keeps its index, with a connection that nobody serves.
         let nowhere = TcpListener::bind("127.0.0.1:0").unwrap();
         self.clients[client].stream = TcpStream::connect(nowhere.local_addr().unwrap()).unwrap();
         self.clients[client].closed = true;
     }
 
-    /// From now on this client closes only when it is told to.
-    pub fn rest(&mut self, client: usize) {
-        self.clients[client].rests = true;
+    /// From now on a client keeps its side open when the dispatcher closes the connection.
+    pub fn ignore_peer_close(&mut self, client: usize) {
+        self.clients[client].ignores_peer_close = true;
     }
 
-    /// Has a thread write `piece` again and again on a client's connection, until it has written so much or the connection is
-    /// closed.
-    pub fn flood(&self, client: usize, piece: Vec<u8>, most: usize) -> std::thread::JoinHandle<usize> {
+    /// Starts a thread that writes `piece` repeatedly on a client's connection, until it has written `max_bytes`, the connection
+    /// is closed, or 3 s have passed. The thread returns the number of bytes written.
+    pub fn flood(&self, client: usize, piece: Vec<u8>, max_bytes: usize) -> std::thread::JoinHandle<usize> {
         let mut stream = self.clients[client].stream.try_clone().unwrap();
         std::thread::spawn(move || {
             let (mut written, mut at, start) = (0, 0, Instant::now());
-            while written < most && start.elapsed() < ms(3000) {
+            while written < max_bytes && start.elapsed() < ms(3000) {
                 match stream.write(&piece[at..]) {
                     Ok(count) => (written, at) = (written + count, (at + count) % piece.len()),
                     Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => std::thread::yield_now(),
@@ -465,61 +493,67 @@
         })
     }
 
-    /// A client writes as much as the system takes now, and the rest while turns go on.
-    pub fn write_some(&mut self, client: usize, mut bytes: &[u8]) {
+    /// Writes from a client, running turns whenever the socket buffer is full, for at most 1 s.
+    pub fn write_with_turns(&mut self, client: usize, mut bytes: &[u8]) {
         let start = Instant::now();
         while !bytes.is_empty() && start.elapsed() < ms(1000) {
             match self.clients[client].stream.write(bytes) {
-                Ok(n) => bytes = &bytes[n..],
+                Ok(count) => bytes = &bytes[count..],
                 Err(_) => self.turn(),
             }
         }
     }
 
-    /// What a host still has to write goes out now, without a turn of the dispatcher.
-    pub fn write_out(&mut self, host: &str) {
-        for Stream { socket, outbound, .. } in &mut self.host(host).streams {
+    /// Sends a host's pending bytes now, without a turn of the dispatcher.
+    pub fn flush_host(&mut self, host: &str) {
+        for StubConnection { socket, outbound, .. } in &mut self.host_mut(host).connections {
             socket.write_all(outbound).unwrap();
             outbound.clear();
         }
     }
 
-    /// The first connection on which a host read an id gives another answer under it.
-    pub fn first_answers_again(&mut self, host: &str, id: u16, word: &str) {
+    /// Sends another answer under an id, on the first connection on which the host read that id.
+    pub fn answer_again_on_first_connection(&mut self, host: &str, id: u16, status: &str) {
         let id = format!("{id:016x}");
-        let stream = self.host(host).streams.iter_mut().find(|stream| stream.ids.contains(&id)).unwrap();
-        let told = format!("*4\r\n$16\r\n{id}\r\n$3\r\n{word}\r\n$1\r\n-\r\n$0\r\n\r\n");
-        stream.outbound.extend_from_slice(told.as_bytes());
-    }
-
-    /// What a host still has to write goes out in two pieces.
-    pub fn in_pieces(&mut self, host: &str) {
-        for Stream { socket, outbound, .. } in &mut self.host(host).streams {
+        let stream = self
+            .host_mut(host)
+            .connections
+            .iter_mut()
+            .find(|stream| stream.request_ids.contains(&id))
+            .unwrap();
+        let encoded = format!("*4\r\n$16\r\n{id}\r\n$3\r\n{status}\r\n$1\r\n-\r\n$0\r\n\r\n");
+        stream.outbound.extend_from_slice(encoded.as_bytes());
+    }
+
+    /// Sends a host's pending bytes in two pieces.
+    pub fn flush_in_pieces(&mut self, host: &str) {
+        for StubConnection { socket, outbound, .. } in &mut self.host_mut(host).connections {
             let half = outbound.len() / 2;
             let sent = socket.write(&outbound[..half]).unwrap_or(0);
             outbound.drain(..sent);
         }
-        // The rest goes out after a turn that sees the first.
-        self.turns.dispatch(Some(ms(1)), &mut self.dispatcher).unwrap();
+        // The second half goes out after a turn in which the dispatcher reads the first.
+        self.event_loop.dispatch(Some(ms(1)), &mut self.dispatcher).unwrap();
         self.dispatcher.turn();
     }
 
-    /// Whether a host reads nothing for now, or has begun only lately to read what was written before.
-    pub fn is_hanging(&self, host: &str) -> bool {
-        self.hosts.iter().any(|known| {
-            known.name == host && (known.hangs || known.woke.is_some_and(|at| at.elapsed() < ms(50)))
+    /// Whether a host is not reading, or began to read again less than 50 ms ago and may still read earlier requests.
+    pub fn may_have_unread_requests(&self, host: &str) -> bool {
+        self.hosts.iter().any(|stub| {
+            stub.name == host
+                && (stub.reading_paused || stub.resumed_at.is_some_and(|at| at.elapsed() < ms(50)))
         })
     }
 
-    /// Connections that a host has taken since it was made or clogged.
-    pub fn streams_of(&mut self, host: &str) -> usize {
-        self.host(host).streams.len()
+    /// Counts the connections that a host has accepted since it was last closed, reset or blocked.
+    pub fn connection_count(&mut self, host: &str) -> usize {
+        self.host_mut(host).connections.len()
     }
 
-    /// Of a host's connections, how many the dispatcher has closed, and how many it has reset.
-    pub fn ends_of(&mut self, host: &str) -> (usize, usize) {
+    /// Counts a host's connections that the dispatcher has closed, and those that it has reset.
+    pub fn closed_and_reset_counts(&mut self, host: &str) -> (usize, usize) {
         let (mut closed, mut reset) = (0, 0);
-        for Stream { socket, .. } in &mut self.host(host).streams {
+        for StubConnection { socket, .. } in &mut self.host_mut(host).connections {
             if socket.write(b"x").is_err() {
                 reset += 1;
             } else if matches!(socket.read(&mut [0]), Ok(0)) {
@@ -529,190 +563,205 @@
         (closed, reset)
     }
 
-    pub fn change_log_streams(&self) -> usize {
-        self.changelog.streams.len()
+    pub fn changelog_connection_count(&self) -> usize {
+        self.changelog.connections.len()
     }
 
-    /// A piece of an answer of the change log.
-    pub fn trickle(&mut self, piece: &[u8]) {
-        let stream = self.changelog.streams.last_mut().unwrap();
+    /// Sends a piece of the change log's answer.
+    pub fn write_poll_answer_piece(&mut self, piece: &[u8]) {
+        let stream = self.changelog.connections.last_mut().unwrap();
         stream.inbound.clear();
         stream.outbound.extend_from_slice(piece);
     }
 
-    /// Whether what a client writes now, and reads after, meets a reset.
-    pub fn is_reset(&mut self, client: usize) -> bool {
-        let broken = |e: &std::io::Error| e.kind() != std::io::ErrorKind::WouldBlock;
+    /// Whether a client that writes on its connection now meets a reset.
+    pub fn is_client_reset(&mut self, client: usize) -> bool {
+        let is_fatal = |error: &std::io::Error| error.kind() != std::io::ErrorKind::WouldBlock;
         let stream = &mut self.clients[client].stream;
         let written = stream.write_all(&record(5, 99, b"more"));
-        self.settle(20);
+        self.run_for_ms(20);
         let stream = &mut self.clients[client].stream;
-        written.is_err() || stream.write_all(&record(5, 99, b"more")).as_ref().is_err_and(broken)
+        written.is_err() || stream.write_all(&record(5, 99, b"more")).as_ref().is_err_and(is_fatal)
     }
 
-    /// A host's line of the list.
-    pub fn line(&mut self, host: &str, status: &str, since: u64) -> Value {
-        line(self.host(host), status, since)
+    /// Returns a host's line of the host list.
+    pub fn host_line(&mut self, host: &str, status: &str, since: u64) -> Value {
+        host_line(self.host_mut(host), status, since)
     }
 
-    /// The change log's answer to the poll that waits.
-    pub fn changes(&mut self, body: &str) {
-        self.polled();
+    /// Answers the pending poll from the change log.
+    pub fn answer_poll(&mut self, body: &str) {
+        self.wait_for_poll();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let stream = self.changelog.streams.last_mut().unwrap();
+        let stream = self.changelog.connections.last_mut().unwrap();
         stream.inbound.clear();
         stream.outbound.extend_from_slice(answer.as_bytes());
     }
 
-    /// A part of an answer to the poll that waits, and the end of the connection.
-    pub fn break_off(&mut self, part: &str) {
-        self.polled();
-        let mut stream = self.changelog.streams.pop().unwrap();
+    /// Sends a part of an answer to the pending poll and closes the connection.
+    pub fn truncate_poll_answer(&mut self, part: &str) {
+        self.wait_for_poll();
+        let mut stream = self.changelog.connections.pop().unwrap();
         write!(stream.socket, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{part}").unwrap();
     }
 
-    /// Turns until a poll waits at the change log.
-    pub fn polled(&mut self) {
-        self.turn_until("no poll came", Self::is_polled);
+    /// Runs turns until a poll is pending at the change log.
+    pub fn wait_for_poll(&mut self) {
+        self.turn_until("no poll reached the change log within 3 s", Self::is_poll_pending);
     }
 
-    fn turn_until(&mut self, else_what: &str, done: impl Fn(&Self) -> bool) {
+    fn turn_until(&mut self, failure: &str, done: impl Fn(&Self) -> bool) {
         let start = Instant::now();
         while !done(self) {
             self.turn();
-            assert!(start.elapsed() < ms(3000), "{else_what}");
+            assert!(start.elapsed() < ms(3000), "{failure}");
         }
     }
 
-    /// The poll that waits, as a line.
-    pub fn poll(&mut self) {
-        self.polled();
-        let stream = self.changelog.streams.last().unwrap();
+    /// Adds the request line of the pending poll to the trace.
+    pub fn trace_poll(&mut self) {
+        self.wait_for_poll();
+        let stream = self.changelog.connections.last().unwrap();
         let text = String::from_utf8_lossy(&stream.inbound).into_owned();
         writeln!(self.trace, "change log reads {}", text.lines().next().unwrap_or_default()).unwrap();
     }
 
-    /// Leaves the poll that waits without an answer, until another comes on a new connection.
-    pub fn stop_changelog(&mut self) {
-        self.polled();
-        let had = self.changelog.streams.len();
-        self.turn_until("the poll waits on", |rig| rig.changelog.streams.len() > had);
+    /// Leaves the pending poll without an answer until the dispatcher polls on a new connection.
+    pub fn wait_for_poll_timeout(&mut self) {
+        self.wait_for_poll();
+        let earlier_count = self.changelog.connections.len();
+        self.turn_until("the silent poll was not given up within 3 s", |rig| {
+            rig.changelog.connections.len() > earlier_count
+        });
     }
 
-    /// Another change log; what the earlier one has open stays so, in silence.
+    /// Moves the dispatcher to another change log. The connections of the earlier one stay open and silent.
     pub fn move_changelog(&mut self) {
-        let old = std::mem::replace(&mut self.changelog, StandIn::new("change log".into()));
-        self.hosts.push(StandIn { name: "old change log".into(), ..old });
+        let old = std::mem::replace(&mut self.changelog, StubServer::new("change log".into()));
+        self.hosts.push(StubServer { name: "old change log".into(), ..old });
         self.dispatcher.follow(Some(self.changelog.address));
     }
 
-    /// The change log refuses connections from now on, or takes them again at the same address.
-    pub fn refuse_at_changelog(&mut self, refuses: bool) {
-        let StandIn { listener, streams, address, .. } = &mut self.changelog;
+    /// Makes the change log refuse connections, or accept them again at the same address.
+    pub fn set_changelog_refusing(&mut self, refuses: bool) {
+        let StubServer { listener, connections, address, .. } = &mut self.changelog;
         if refuses {
-            streams.clear();
+            connections.clear();
             *listener = None;
         } else {
-            let again = Socket::new(Domain::IPV4, Type::STREAM.nonblocking(), None).unwrap();
-            again.set_reuse_address(true).unwrap();
-            again.bind(&(*address).into()).unwrap();
-            again.listen(64).unwrap();
-            *listener = Some(again.into());
+            let socket = Socket::new(Domain::IPV4, Type::STREAM.nonblocking(), None).unwrap();
+            socket.set_reuse_address(true).unwrap();
+            socket.bind(&(*address).into()).unwrap();
+            socket.listen(64).unwrap();
+            *listener = Some(socket.into());
         }
     }
 
-    /// Whether a poll has come to the change log and waits there.
-    pub fn is_polled(&self) -> bool {
-        self.changelog.streams.last().is_some_and(|stream| stream.inbound.ends_with(b"\r\n\r\n"))
+    /// Whether a poll is pending at the change log.
+    pub fn is_poll_pending(&self) -> bool {
+        self.changelog.connections.last().is_some_and(|stream| stream.inbound.ends_with(b"\r\n\r\n"))
     }
 
-    /// Whether a host has read any request since the trace was so long.
-    pub fn has_read_since(&self, host: &str, from: usize) -> bool {
-        let mark = format!("{host} reads serve ");
-        self.trace[from..].lines().any(|line| line.starts_with(&mark))
+    /// Whether a host has read any request since the trace had `trace_length` bytes.
+    pub fn has_read_since(&self, host: &str, trace_length: usize) -> bool {
+        let prefix = format!("{host} reads serve ");
+        self.trace[trace_length..].lines().any(|line| line.starts_with(&prefix))
     }
 
-    pub fn hang_up(&mut self, client: usize) {
+    pub fn close_client(&mut self, client: usize) {
         self.clients[client].stream.shutdown(Shutdown::Both).unwrap();
         self.clients[client].closed = true;
     }
 
-    pub fn settle(&mut self, span: u64) {
+    /// Runs turns for this long.
+    pub fn run_for_ms(&mut self, duration_ms: u64) {
         let start = Instant::now();
-        while start.elapsed() < ms(span) {
+        while start.elapsed() < ms(duration_ms) {
             self.turn();
         }
     }
 
-    /// Turns until so many more lines stand in the trace, and a little longer for what should not come.
-    pub fn until(&mut self, lines: usize) {
-        let wanted = self.trace.lines().count() + lines;
-        let (start, mut done) = (Instant::now(), None);
-        while start.elapsed() < ms(3000) && done.is_none_or(|at: Instant| at.elapsed() < ms(20)) {
+    /// Runs turns until the trace has this many more lines, and 20 ms longer so that unexpected lines show too.
+    pub fn wait_for_lines(&mut self, lines: usize) {
+        let wanted_count = self.trace.lines().count() + lines;
+        let (start, mut reached_at) = (Instant::now(), None);
+        while start.elapsed() < ms(3000) && reached_at.is_none_or(|at: Instant| at.elapsed() < ms(20)) {
             self.turn();
-            done = done.or((self.trace.lines().count() >= wanted).then(Instant::now));
+            reached_at = reached_at.or((self.trace.lines().count() >= wanted_count).then(Instant::now));
         }
-        assert!(done.is_some(), "too little came:\n{}", self.trace);
+        assert!(reached_at.is_some(), "the trace has fewer lines than expected after 3 s:\n{}", self.trace);
     }
 
     pub fn turn(&mut self) {
         self.turn_with(|_| ());
     }
 
-    /// A turn in which something happens after the loop has told what is ready.
-    pub fn turn_with(&mut self, happens: impl FnOnce(&mut Self)) {
-        self.turns.dispatch(ms(1).min(self.dispatcher.patience()), &mut self.dispatcher).unwrap();
-        happens(self);
+    /// Runs a turn of the dispatcher, the stubs and the clients, with an action between the event loop's report of ready sockets
+    /// and the dispatcher's own turn.
+    pub fn turn_with(&mut self, action: impl FnOnce(&mut Self)) {
+        self.event_loop.dispatch(ms(1).min(self.dispatcher.patience()), &mut self.dispatcher).unwrap();
+        action(self);
         self.dispatcher.turn();
-        let Self { hosts, changelog, clients, last, deaf, trace, .. } = self;
+        let Self { hosts, changelog, clients, last_reader, clients_paused, trace, .. } = self;
         for host in hosts.iter_mut().chain([changelog]) {
             while let Some(Ok((stream, _))) = host.listener.as_ref().map(TcpListener::accept) {
                 stream.set_nonblocking(true).unwrap();
-                let (inbound, outbound, ids) = (Vec::new(), Vec::new(), Vec::new());
-                host.streams.push(Stream { socket: stream, inbound, outbound, ids, read_at: None });
+                let (inbound, outbound, request_ids) = (Vec::new(), Vec::new(), Vec::new());
+                host.connections.push(StubConnection {
+                    socket: stream,
+                    inbound,
+                    outbound,
+                    request_ids,
+                    last_read_at: None,
+                });
             }
-            let hangs = host.hangs;
-            for Stream { socket, inbound, outbound, ids, read_at } in &mut host.streams {
-                if !hangs {
+            let paused = host.reading_paused;
+            for StubConnection { socket, inbound, outbound, request_ids, last_read_at } in
+                &mut host.connections
+            {
+                if !paused {
                     let _ = socket.read_to_end(inbound);
                 }
                 let sent = socket.write(outbound).unwrap_or(0);
                 outbound.drain(..sent);
-                while let Some(words) = command(inbound) {
-                    last.clone_from(&host.name);
-                    ids.extend(words.get(1).cloned());
-                    *read_at = Some(Instant::now());
-                    writeln!(trace, "{} reads {}", host.name, masked(&words.join(" "))).unwrap();
+                while let Some(words) = take_command(inbound) {
+                    last_reader.clone_from(&host.name);
+                    request_ids.extend(words.get(1).cloned());
+                    *last_read_at = Some(Instant::now());
+                    writeln!(trace, "{} reads {}", host.name, mask_times(&words.join(" "))).unwrap();
                 }
             }
         }
-        for (i, client) in clients.iter_mut().enumerate().filter(|(_, c)| !c.closed && !*deaf) {
+        for (index, client) in
+            clients.iter_mut().enumerate().filter(|(_, client)| !client.closed && !*clients_paused)
+        {
             client.closed = client.stream.read_to_end(&mut client.inbound).is_ok();
             while let Some(line) = client.next() {
-                writeln!(trace, "client {i} reads {line}").unwrap();
+                writeln!(trace, "client {index} reads {line}").unwrap();
             }
             if client.closed {
-                if !client.rests {
+                if !client.ignores_peer_close {
                     let _ = client.stream.shutdown(Shutdown::Both);
                 }
-                writeln!(trace, "client {i} is closed").unwrap();
+                writeln!(trace, "client {index} is closed").unwrap();
             }
         }
     }
 }
 
-fn clog(host: &mut StandIn) {
-    host.streams.clear();
+/// Closes a stub's connections and fills its accept queue.
+fn fill_accept_queue(host: &mut StubServer) {
+    host.connections.clear();
     host.listener = None;
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.set_reuse_address(true).unwrap();
     full.bind(&host.address.into()).unwrap();
     full.listen(0).unwrap();
     let waiting = (0..3).flat_map(|_| TcpStream::connect_timeout(&host.address, ms(20)));
-    host.clogged = Some((full, waiting.collect()));
+    host.full_queue = Some((full, waiting.collect()));
 }
 
-fn line(host: &StandIn, status: &str, since: u64) -> Value {
+fn host_line(host: &StubServer, status: &str, since: u64) -> Value {
     let (kind, zone) = match host.name.split('-').next() {
         Some("cache") => ("standard", "edge"),
         Some("parent") => ("parent", "hub"),
@@ -722,25 +771,26 @@
         "status": status, "weight": 8.0, "since_ms": since})
 }
 
-/// Takes a whole RESP command off what came; the change log's requests are left.
-fn command(inbound: &mut Vec<u8>) -> Option<Vec<String>> {
+/// Takes a complete RESP command off the bytes received. Requests to the change log stay there.
+fn take_command(inbound: &mut Vec<u8>) -> Option<Vec<String>> {
     let text = String::from_utf8_lossy(inbound).into_owned();
     let mut lines = text.split("\r\n");
-    let n: usize = lines.next()?.strip_prefix('*')?.parse().ok()?;
-    let words: Vec<String> = (0..n).map_while(|_| lines.nth(1).map(str::to_owned)).collect();
+    let count: usize = lines.next()?.strip_prefix('*')?.parse().ok()?;
+    let words: Vec<String> = (0..count).map_while(|_| lines.nth(1).map(str::to_owned)).collect();
     let rest: Vec<_> = lines.collect();
-    let whole = words.len() == n && !rest.is_empty();
-    whole.then(|| {
+    let is_complete = words.len() == count && !rest.is_empty();
+    is_complete.then(|| {
         inbound.drain(..text.len() - rest.join("\r\n").len());
         words
     })
 }
 
-/// Times are not the same twice: only that a limit is far under any fresh time is told.
-fn masked(text: &str) -> String {
+/// Masks times, which differ from run to run. An accepted age (`cap=`) below 1000 ms, far under any fresh time, is shown as
+/// `small`.
+fn mask_times(text: &str) -> String {
     ["ttl=", "cap=", "Back-Off-Ms: "].iter().fold(text.to_owned(), |text, marker| {
         let Some((before, after)) = text.split_once(marker) else { return text };
-        let rest = after.trim_start_matches(|c: char| c.is_ascii_digit());
+        let rest = after.trim_start_matches(|character: char| character.is_ascii_digit());
         let number = &after[..after.len() - rest.len()];
         let shown = if *marker != "cap=" {
             "*"
@@ -754,43 +804,44 @@
 }
 
 impl Client {
-    /// Takes a record off what came; a line once it ends a request or belongs to none.
+    /// Takes records off the bytes received, and returns a line for the first one that ends a request or belongs to none.
     fn next(&mut self) -> Option<String> {
         loop {
-            let long = usize::from(u16::from_be_bytes([*self.inbound.get(4)?, *self.inbound.get(5)?]));
-            if self.inbound.len() < 8 + long {
+            let length = usize::from(u16::from_be_bytes([*self.inbound.get(4)?, *self.inbound.get(5)?]));
+            if self.inbound.len() < 8 + length {
                 return None;
             }
-            let record: Vec<u8> = self.inbound.drain(..8 + long).collect();
+            let record: Vec<u8> = self.inbound.drain(..8 + length).collect();
             let (kind, number) = (record[1], u16::from_be_bytes([record[2], record[3]]));
             let text = String::from_utf8_lossy(&record[8..]).replace("\r\n", " | ");
-            let said = self.texts.entry(number).or_default();
+            let answer = self.partial_answers.entry(number).or_default();
             match kind {
-                6 => said.push_str(&text),
+                6 => answer.push_str(&text),
                 3 if record[12] != 0 => return Some(format!("{number}: status {}", record[12])),
-                3 if said.is_empty() => return Some(format!("{number}: ended without an answer")),
-                3 => return Some(format!("{number}: {}", shortened(&masked(&std::mem::take(said))))),
+                3 if answer.is_empty() => return Some(format!("{number}: ended without an answer")),
+                3 => return Some(format!("{number}: {}", shorten(&mask_times(&std::mem::take(answer))))),
                 _ => return Some(format!("a record of type {kind}: {}", text.escape_default())),
             }
         }
     }
 }
 
-fn shortened(text: &str) -> String {
+/// Cuts a text of 200 bytes or more to its first 100, followed by its length.
+fn shorten(text: &str) -> String {
     if text.len() < 200 { text.to_owned() } else { format!("{}… {} bytes", &text[..100], text.len()) }
 }
 
+/// A FastCGI record with three bytes of padding.
 pub fn record(kind: u8, number: u16, content: &[u8]) -> Vec<u8> {
-    let (number, long) = (number.to_be_bytes(), (content.len() as u16).to_be_bytes());
-    let mut out = vec![1, kind, number[0], number[1], long[0], long[1], 3, 0];
+    let (number, length) = (number.to_be_bytes(), (content.len() as u16).to_be_bytes());
+    let mut out = vec![1, kind, number[0], number[1], length[0], length[1], 3, 0];
     out.extend_from_slice(content);
     out.extend_from_slice(b"pad");
     out
 }
 
-/// A request for a part of an object as a client writes it: its number, its delivery service, what it tells otherwise than
-/// usual, and its body.
-pub fn asked(number: u16, ds: &str, extra: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+/// A FastCGI request for a part of an object, to the delivery service `ds`. `extra` replaces or adds parameters.
+pub fn object_request(number: u16, ds: &str, extra: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let (id, path) = (format!("{number:016x}"), format!("/rpc/{ds}"));
     let mut params = vec![
         ("SCRIPT_NAME", &*path),
@@ -807,18 +858,18 @@
     request(number, &params, body)
 }
 
-/// A request as a client writes it, its parameters over two records.
+/// A FastCGI request whose parameters are split over two records.
 pub fn request(number: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut told = Vec::new();
+    let mut encoded = Vec::new();
     for (name, value) in params {
-        told.push(name.len() as u8);
-        told.extend_from_slice(&(value.len() as u32 | 0x8000_0000).to_be_bytes());
-        told.extend_from_slice(name.as_bytes());
-        told.extend_from_slice(value.as_bytes());
+        encoded.push(name.len() as u8);
+        encoded.extend_from_slice(&(value.len() as u32 | 0x8000_0000).to_be_bytes());
+        encoded.extend_from_slice(name.as_bytes());
+        encoded.extend_from_slice(value.as_bytes());
     }
-    let (first, second) = told.split_at(told.len() / 3);
+    let (first, second) = encoded.split_at(encoded.len() / 3);
     let head = [(1, &[0, 1, 1, 0, 0, 0, 0, 0][..]), (4, first), (4, second), (4, &[])];
     let body = [(5, body), (5, &[])];
     let body = &body[usize::from(body[0].1.is_empty())..];
-    head.iter().chain(body).flat_map(|(kind, part)| record(*kind, number, part)).collect()
+    head.iter().chain(body).flat_map(|(kind, content)| record(*kind, number, content)).collect()
 }
--- a/tests/generated.rs
+++ b/tests/generated.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{HOSTS, Rig, asked, ms, record, settings};
+use common::{DispatcherRig, HOSTS, ms, object_request, record, settings};
 use myrtlegauge_dispatcher::routing::Room;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -77,7 +77,7 @@
 }
 
 struct Play {
-    rig: Rig,
+    rig: DispatcherRig,
     askers: Vec<Asker>,
     /// By id: when nobody waited for it any more.
     left: BTreeMap<u16, Instant>,
@@ -93,20 +93,25 @@
 
 fn written(number: u16, service: usize, object: u8) -> Vec<u8> {
     let object = format!("{object:016x}");
-    asked(number, SERVICES[service], &[("HTTP_BUDGET_MS", "400"), ("HTTP_RESOURCE_KEY", &object)], b"")
+    object_request(
+        number,
+        SERVICES[service],
+        &[("HTTP_BUDGET_MS", "400"), ("HTTP_RESOURCE_KEY", &object)],
+        b"",
+    )
 }
 
 impl Play {
     fn new() -> Self {
-        let mut rig = Rig::with(settings(), Room { descriptors: 1024, memory: 192 << 20 });
-        let askers = (0..3).map(|_| Asker { client: rig.client(), ..Asker::default() }).collect();
+        let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 1024, memory: 192 << 20 });
+        let askers = (0..3).map(|_| Asker { client: rig.connect_client(), ..Asker::default() }).collect();
         let (left, drained, owed) = Default::default();
         Self { rig, askers, left, number: 0, seen: 0, drained, seq: 1, owed }
     }
 
     fn asker(&mut self, at: usize) -> &mut Asker {
         if self.askers[at].gone {
-            self.askers[at] = Asker { client: self.rig.client(), ..Asker::default() };
+            self.askers[at] = Asker { client: self.rig.connect_client(), ..Asker::default() };
         }
         &mut self.askers[at]
     }
@@ -160,9 +165,9 @@
             Step::HangUp(at) | Step::Reset(at) if !self.askers[at].gone => {
                 let client = self.askers[at].client;
                 if matches!(step, Step::Reset(_)) {
-                    self.rig.reset(client)
+                    self.rig.reset_client(client)
                 } else {
-                    self.rig.hang_up(client)
+                    self.rig.close_client(client)
                 }
                 self.leave(at);
             }
@@ -174,8 +179,8 @@
                 else {
                     return Ok(());
                 };
-                self.rig.last = host.to_owned();
-                if self.rig.streams_of(host) == 0 {
+                self.rig.last_reader = host.to_owned();
+                if self.rig.connection_count(host) == 0 {
                     return Ok(());
                 }
                 match way {
@@ -185,35 +190,35 @@
                     Way::Miss => self.rig.answer(id, "404", "why=PEER_MISS", ""),
                     Way::InPieces => {
                         self.rig.answer(id, "200", "why=TCP_HIT", "the bytes");
-                        self.rig.in_pieces(host);
+                        self.rig.flush_in_pieces(host);
                     }
                 }
             }
-            Step::Stray(host) if self.rig.streams_of(HOSTS[host]) > 0 => {
-                self.rig.last = HOSTS[host].to_owned();
+            Step::Stray(host) if self.rig.connection_count(HOSTS[host]) > 0 => {
+                self.rig.last_reader = HOSTS[host].to_owned();
                 self.rig.answer(60_000, "200", "why=TCP_HIT", "nobody's");
             }
-            Step::Spoil(host) if self.rig.streams_of(HOSTS[host]) > 0 => {
-                self.rig.last = HOSTS[host].to_owned();
-                self.rig.raw(b"?");
+            Step::Spoil(host) if self.rig.connection_count(HOSTS[host]) > 0 => {
+                self.rig.last_reader = HOSTS[host].to_owned();
+                self.rig.answer_raw(b"?");
             }
             Step::Stray(_) | Step::Spoil(_) => {}
             Step::CloseHost(host) => {
-                self.rig.close(HOSTS[host], false);
+                self.rig.close_host(HOSTS[host], false);
                 self.owed.remove(HOSTS[host]);
             }
-            Step::Hang(host, on) => self.rig.hang(HOSTS[host], on),
+            Step::Hang(host, on) => self.rig.set_reading_paused(HOSTS[host], on),
             Step::Drain(host) => {
                 // One of the three stays.
                 if self.drained.len() < 2 && !self.drained.contains_key(HOSTS[host]) {
                     self.seq += 1;
                     let line = json!({"name": HOSTS[host], "status": "leaving"});
                     let told = json!({"seq": self.seq, "fleet": {"endpoints": [line]}});
-                    self.rig.changes(&json!({"seq": self.seq, "results": [told]}).to_string());
+                    self.rig.answer_poll(&json!({"seq": self.seq, "results": [told]}).to_string());
                     self.drained.insert(HOSTS[host].to_owned(), Instant::now());
                 }
             }
-            Step::Wait(span) => self.rig.settle(u64::from(span)),
+            Step::Wait(span) => self.rig.run_for_ms(u64::from(span)),
         }
         self.rig.turn();
         self.look()
@@ -227,7 +232,7 @@
             if let Some((who, rest)) = line.split_once(" reads serve ") {
                 let id = u16::from_str_radix(&rest[..16], 16).unwrap();
                 self.owed.entry(who.to_owned()).or_default().push(id);
-                if !self.rig.is_hanging(who) {
+                if !self.rig.may_have_unread_requests(who) {
                     let late = self.left.get(&id).filter(|at| at.elapsed() > ms(100));
                     prop_assert!(late.is_none(), "{line}, whose client has left\n{}", self.rig.trace);
                     let late = self.drained.get(who).filter(|at| at.elapsed() > ms(DRAIN_GRACE_MS));
@@ -250,11 +255,11 @@
     fn ends(&mut self) -> Result<(), TestCaseError> {
         // What lay at a host that did not read is read now, and was there before.
         for host in HOSTS {
-            self.rig.hang(host, false);
+            self.rig.set_reading_paused(host, false);
         }
-        self.rig.settle(20);
+        self.rig.run_for_ms(20);
         self.look()?;
-        self.rig.settle(430);
+        self.rig.run_for_ms(430);
         self.look()?;
         for asker in &self.askers {
             prop_assert!(asker.waits.is_empty(), "{:?} have no answer\n{}", asker.waits, self.rig.trace);
--- a/tests/ring.rs
+++ b/tests/ring.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Day, settings};
+use common::{RouterRig, settings};
 use myrtlegauge::decide::MAX_WALKED_HOSTS;
 use myrtlegauge::interface::*;
 use myrtlegauge::snapshot::{RoutingTable, Tier, ring_key};
@@ -112,13 +112,13 @@
 }
 
 /// A location with so many caches, as many parents over four hubs, and an origin.
-fn location(hosts: usize, failed: Failed) -> Day {
+fn location(hosts: usize, failed: Failed) -> RouterRig {
     let mut facts = settings();
     facts["zones"] = (0..=HUBS).map(|zone| format!("zone {zone}")).collect();
     facts["my_zone"] = json!(EDGE);
     facts["domain"]["hub_of"] = (0..HUBS).chain([0]).collect();
     facts["domain"]["count_by_zone"] = json!([0, 0, 0, 0, 2]);
-    let mut day = Day::new(facts);
+    let mut day = RouterRig::new(facts);
     let entry = |host: HostIndex| {
         let (kind, zone) = match host {
             host if host < hosts => (0, EDGE),
@@ -136,7 +136,7 @@
             ..HostEntry::default()
         }
     };
-    day.list(ListUpdate::Full, &(0..=2 * hosts).map(entry).collect::<Vec<_>>());
+    day.apply_host_list(ListUpdate::Full, &(0..=2 * hosts).map(entry).collect::<Vec<_>>());
     day.round(|round| {
         for host in (0..=2 * hosts).filter(|&host| failed.holds(host)) {
             (0..FAILURES).for_each(|_| round.on_host_report(host, false));
@@ -146,11 +146,11 @@
 }
 
 /// Takes a GET and ends its forward well; where that went, if anywhere.
-fn request(day: &mut Day, object: u64) -> Option<Forward> {
-    day.trace.last = None;
-    let place = day.take(0, object);
-    let forward = day.trace.last?;
-    day.end(place, 0, End::Returned, Note::Hit, 100);
+fn request(day: &mut RouterRig, object: u64) -> Option<Forward> {
+    day.trace.last_forward = None;
+    let place = day.start_get(0, object);
+    let forward = day.trace.last_forward?;
+    day.end_forward(place, 0, End::Returned, Note::Hit, 100);
     Some(forward)
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Rig, ms, request, settings};
+use common::{DispatcherRig, ms, request, settings};
 use myrtlegauge_dispatcher::routing::Room;
 use serde_json::{Value, json};
 use std::time::Instant;
@@ -63,7 +63,7 @@
         let (told, classes) = drawn(&mut chance);
         let longest = classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
         let room = Room { descriptors: [64, 256, 1024][chance.usize(0..3)], memory: 32 << 20 };
-        let mut rig = Rig::with(told.clone(), room);
+        let mut rig = DispatcherRig::with_settings(told.clone(), room);
         for (at, class) in classes.iter().enumerate() {
             let number = at as u16 + 1;
             let (path, budget) =
@@ -75,7 +75,7 @@
                 ("HTTP_RESOURCE_KEY", "7f3a9c21e0b4d655"),
             ];
             rig.write(0, &request(number, &params, b""));
-            rig.until(1);
+            rig.wait_for_lines(1);
             let lane = format!("lane={},", class.name);
             assert!(
                 rig.trace.contains(&lane) || rig.trace.contains(&format!("reads {number}: Status: 503")),
@@ -84,7 +84,7 @@
             );
             if rig.trace.contains(&lane) {
                 rig.answer(number, "200", "why=TCP_HIT", "the bytes");
-                rig.until(1);
+                rig.wait_for_lines(1);
             }
             let answers = rig.trace.matches(&format!("client 0 reads {number}: Status: ")).count();
             assert_eq!(answers, 1, "{told}\n{}", rig.trace);
@@ -93,7 +93,7 @@
         let last = &classes[0];
         if last.deadline_ms < 1000.0 {
             let start = Instant::now();
-            rig.get(99, &last.name, &[("HTTP_BUDGET_MS", &last.deadline_ms.to_string())]);
+            rig.send_get(99, &last.name, &[("HTTP_BUDGET_MS", &last.deadline_ms.to_string())]);
             let before = rig.trace.matches("client 0 reads 99: ").count();
             while rig.trace.matches("client 0 reads 99: ").count() == before {
                 rig.turn();
