--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -1,5 +1,5 @@
-//! The guards of sending, repeating, closing and starting: with them nothing is counted against the rules, and without one its
-//! check fires.
+//! The guards of sending, repeating, closing and starting: with all guards no violation of a rule is counted, and without one
+//! guard only violations of its rule are counted.
 
 mod common;
 
@@ -7,32 +7,33 @@
 use myrtlegauge_dispatcher::routing::Rule;
 use serde_json::json;
 
-/// Requests to a cache that has just started anew, of a service of which nothing is learnt yet.
-const RUSH: u16 = 25;
+/// End of the range of requests to a cache that has just restarted, for a service without statistics so far.
+const END_OF_BURST: u16 = 25;
 
-fn assert_only(rig: &DispatcherRig, broken: Option<Rule>) {
+/// Asserts that violations of `expected`, and of no other rule, were counted.
+fn assert_violated(rig: &DispatcherRig, expected: Option<Rule>) {
     for rule in Rule::ALL {
         let count = rig.dispatcher.violations(rule);
-        assert_eq!(count > 0, broken == Some(rule), "{}: {count}\n{}", rule.name(), rig.trace);
+        assert_eq!(count > 0, expected == Some(rule), "{}: {count}\n{}", rule.name(), rig.trace);
     }
 }
 
-/// Plays the same with all guards, and without the one of this rule.
-fn each_way(rule: Rule, play: impl Fn(&mut DispatcherRig)) {
-    let mut told = settings();
-    // A connection may come up as late as the system's second try.
-    told["limits"]["connect_timeout_ms"] = json!(3000.0);
-    let mut guarded = DispatcherRig::with_settings(told.clone(), DEFAULT_LIMITS);
-    play(&mut guarded);
-    assert_only(&guarded, None);
-    let mut unguarded = DispatcherRig::without_guard(rule, told);
-    play(&mut unguarded);
-    assert_only(&unguarded, Some(rule));
+/// Runs a scenario with all guards, and again without the guard of this rule.
+fn check_with_and_without_guard(rule: Rule, scenario: impl Fn(&mut DispatcherRig)) {
+    let mut settings = settings();
+    // A connection may be established as late as by the system's second SYN.
+    settings["limits"]["connect_timeout_ms"] = json!(3000.0);
+    let mut guarded = DispatcherRig::with_settings(settings.clone(), DEFAULT_LIMITS);
+    scenario(&mut guarded);
+    assert_violated(&guarded, None);
+    let mut unguarded = DispatcherRig::without_guard(rule, settings);
+    scenario(&mut unguarded);
+    assert_violated(&unguarded, Some(rule));
 }
 
 #[test]
-fn nothing_leaves_for_a_host_that_drained_while_its_connection_came_up() {
-    each_way(Rule::Sending, |rig| {
+fn nothing_is_sent_to_a_host_that_drained_while_its_connection_was_established() {
+    check_with_and_without_guard(Rule::Sending, |rig| {
         rig.send_get(1, "video", &[]);
         rig.wait_for_lines(1);
         let host = rig.last_reader.clone();
@@ -50,8 +51,8 @@
 }
 
 #[test]
-fn an_effect_that_may_have_run_is_not_sent_again() {
-    each_way(Rule::Repeating, |rig| {
+fn a_write_that_may_have_run_is_not_sent_again() {
+    check_with_and_without_guard(Rule::Repeating, |rig| {
         rig.send_get(1, "confirm", &[]);
         rig.wait_for_lines(1);
         rig.answer(1, "500", "-", "");
@@ -60,11 +61,11 @@
 }
 
 #[test]
-fn a_connection_is_not_closed_over_an_answer_that_is_owed() {
-    each_way(Rule::Closing, |rig| {
+fn a_client_connection_is_not_closed_before_its_answer_is_sent() {
+    check_with_and_without_guard(Rule::Closing, |rig| {
         rig.send_get(1, "video", &[]);
         rig.wait_for_lines(1);
-        // A second request that stays half a record.
+        // A second request, of which only the first half is ever sent.
         let half = object_request(2, "video", &[], b"");
         rig.write(0, &half[..half.len() / 2]);
         rig.run_for_ms(1900);
@@ -75,7 +76,7 @@
 
 #[test]
 fn a_host_in_slow_start_gets_no_more_than_this_routers_share() {
-    each_way(Rule::Starting, |rig| {
+    check_with_and_without_guard(Rule::Starting, |rig| {
         rig.send_get(1, "video", &[]);
         rig.wait_for_lines(1);
         let host = rig.last_reader.clone();
@@ -83,7 +84,7 @@
             json!({"seq": 2, "fleet": {"endpoints": [rig.host_line(&host, "active", 9_000_000_000_000)]}});
         rig.answer_poll(&json!({"seq": 2, "results": [started]}).to_string());
         rig.run_for_ms(20);
-        for number in 2..RUSH {
+        for number in 2..END_OF_BURST {
             rig.send_get(number, "video", &[]);
         }
         rig.run_for_ms(50);
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The dispatcher on loopback sockets, as short traces of what the other sides read.
+//! The dispatcher on loopback sockets: snapshots of short traces of what hosts, change log and clients read.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 #[test]
-fn a_get_goes_on_as_it_came_and_its_answer_comes_back_whole() {
+fn a_get_is_forwarded_unchanged_and_its_answer_is_returned_complete() {
     let mut rig = DispatcherRig::new();
     rig.answer_poll(&json!({"seq": 1, "results": []}).to_string());
     rig.run_for_ms(50);
@@ -17,7 +17,7 @@
     rig.wait_for_lines(1);
     rig.answer(1, "200", "why=TCP_MISS,fill=12,rev=4be0c1927d55a6f3,since=1764576000123", "the bytes");
     rig.wait_for_lines(1);
-    rig.comment("two at once, answered in the other order, one by the copy that the client holds");
+    rig.comment("two GETs in flight, answered in reverse order; the client holds the current version of one");
     rig.send_get(2, "photo", &[("HTTP_X_KNOWN", "\"4be0c1927d55a6f3\"")]);
     rig.send_get(3, "photo", &[("HTTP_X_CHUNK", "0")]);
     rig.wait_for_lines(2);
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn a_copy_is_called_current_only_by_a_host_and_once_the_log_has_answered() {
+fn a_held_version_is_confirmed_only_by_a_host_and_after_the_change_log_has_answered() {
     let mut rig = DispatcherRig::new();
     let known = [("HTTP_X_KNOWN", "4be0c1927d55a6f3")];
     rig.send_get(1, "photo", &known);
     rig.wait_for_lines(1);
-    rig.comment("the client's tag stayed here: purges since the start are not known yet");
+    rig.comment("the client's tag is not forwarded: purges since the start are not known yet");
     rig.answer(1, "200", "why=TCP_HIT,rev=4be0c1927d55a6f3,since=1764576000123", "the bytes");
     rig.wait_for_lines(1);
     rig.answer_poll(&json!({"seq": 1, "results": []}).to_string());
@@ -49,7 +49,7 @@
     rig.wait_for_lines(1);
     rig.answer(2, "304", "why=TCP_HIT,rev=4be0c1927d55a6f3,since=1764576000123", "");
     rig.wait_for_lines(1);
-    rig.comment("a host gives the bytes: nothing is called current");
+    rig.comment("the host returns the bytes: the client's version is not confirmed");
     rig.send_get(3, "photo", &known);
     rig.wait_for_lines(1);
     rig.answer(3, "200", "why=TCP_HIT,rev=4be0c1927d55a6f3,since=1764576000123", "the bytes");
@@ -58,24 +58,24 @@
 }
 
 #[test]
-fn a_write_carries_its_body_and_is_never_sent_twice_unless_proven_not_run() {
+fn a_write_carries_its_body_and_is_sent_again_only_if_proven_not_run() {
     let mut rig = DispatcherRig::new();
     let params = [("SCRIPT_NAME", "/rpc/confirm"), ("HTTP_REQUEST_ID", "00000000000000a1")];
     let params =
         [&params[..], &[("HTTP_BUDGET_MS", "3000"), ("HTTP_RESOURCE_KEY", "0000000000000001")]].concat();
     rig.write(0, &request(1, &params, b"signed for"));
     rig.wait_for_lines(1);
-    rig.comment("the connection ends after it was read: it may have run");
+    rig.comment("the connection closes after the write was read: it may have run");
     rig.close_host("origin-5", false);
     rig.wait_for_lines(1);
     rig.write(0, &request(2, &params, b"signed for"));
     rig.wait_for_lines(1);
-    rig.comment("turned away: it never ran");
+    rig.comment("refused with 503: it did not run");
     rig.answer(0xa1, "503", "-", "");
     rig.wait_for_lines(1);
     rig.answer(0xa1, "503", "-", "");
     rig.wait_for_lines(1);
-    rig.comment("the connection is refused: it never ran");
+    rig.comment("the connection is refused: it did not run");
     rig.close_host("origin-5", true);
     let params = [&params[..1], &[("HTTP_REQUEST_ID", "00000000000000a3")], &params[2..]].concat();
     rig.write(0, &request(3, &params, b"signed for"));
@@ -83,27 +83,27 @@
     assert_snapshot!(rig.trace);
 }
 
-/// A tokened request that may have run is known by its token wherever it is sent next.
+/// A tokened request that may have run is recognised by its token at the host to which it is sent next.
 #[test]
-fn a_token_goes_on_as_it_came_with_each_forward() {
+fn each_forward_carries_the_token_unchanged() {
     let mut rig = DispatcherRig::new();
     let token = [("HTTP_ONCE_KEY", "0f4739ac5126432a3ac4bdb04cc333d5")];
     rig.send_get(1, "order", &token);
     rig.wait_for_lines(1);
-    rig.comment("the connection ends after it was read: it may have run, and is sent again");
+    rig.comment("the connection closes after the request was read: it may have run, and is sent again");
     let first = rig.last_reader.clone();
     rig.close_host(&first, true);
     rig.wait_for_lines(1);
     rig.answer(1, "200", "why=TCP_HIT", "done");
     rig.wait_for_lines(1);
-    rig.comment("a token that would say more than it may");
+    rig.comment("a token that would inject a field into the forward");
     rig.send_get(2, "order", &[("HTTP_ONCE_KEY", "0f,up=origin-5")]);
     rig.wait_for_lines(1);
     assert_snapshot!(rig.trace);
 }
 
 #[test]
-fn a_dead_cache_is_met_by_another_forward() {
+fn a_get_is_forwarded_elsewhere_when_its_cache_dies() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
@@ -116,24 +116,24 @@
 }
 
 #[test]
-fn a_connection_that_does_not_come_up_proves_that_nothing_ran() {
+fn a_connection_timeout_proves_that_a_write_did_not_run() {
     let mut rig = DispatcherRig::new();
     rig.fill_accept_queue("origin-5");
     rig.send_get(1, "confirm", &[]);
     rig.wait_for_lines(1);
-    rig.comment("a parent passes it on after the time that a connection may take");
+    rig.comment("a parent forwards it after the connect timeout");
     assert_snapshot!(rig.trace);
 }
 
 #[test]
-fn what_waits_for_a_connection_is_decided_anew_when_its_host_drains() {
-    let mut told = settings();
-    told["limits"]["connect_timeout_ms"] = json!(60_000.0);
-    let mut rig = DispatcherRig::with_settings(told, Room { descriptors: 1024, memory: 192 << 20 });
+fn a_get_waiting_for_a_connection_is_rerouted_when_its_host_drains() {
+    let mut settings = settings();
+    settings["limits"]["connect_timeout_ms"] = json!(60_000.0);
+    let mut rig = DispatcherRig::with_settings(settings, Room { descriptors: 1024, memory: 192 << 20 });
     rig.fill_accept_queue("cache-0");
     rig.send_get(1, "video", &[]);
     rig.run_for_ms(100);
-    rig.comment("nothing was read yet; cache-0 drains, told by its name and status alone");
+    rig.comment("nothing was read yet; an event with only the name and status of cache-0 drains it");
     let drains = json!({"seq": 2, "fleet": {"endpoints": [{"name": "cache-0", "status": "leaving"}]}});
     rig.answer_poll(&json!({"seq": 2, "results": [drains]}).to_string());
     rig.wait_for_lines(1);
@@ -141,19 +141,19 @@
 }
 
 #[test]
-fn what_a_client_no_longer_waits_for_is_called_off() {
+fn gets_aborted_or_abandoned_by_their_client_are_cancelled_at_the_host() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     rig.write(0, &record(2, 1, b""));
     rig.wait_for_lines(2);
-    rig.comment("a late answer goes nowhere; the number may be used again");
+    rig.comment("the late answer is dropped; the request number may be used again");
     rig.answer(1, "200", "why=TCP_HIT", "late");
     rig.send_get(1, "photo", &[("HTTP_REQUEST_ID", "000000000000000b")]);
     rig.wait_for_lines(1);
     rig.answer(0xb, "200", "why=TCP_HIT", "in time");
     rig.wait_for_lines(1);
-    rig.comment("a client that goes takes its GETs with it");
+    rig.comment("the GETs of a client that closes its connection are cancelled");
     rig.send_get(2, "video", &[]);
     rig.wait_for_lines(1);
     rig.close_client(0);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_get_that_expires_is_answered_before_its_client_gives_up() {
+fn an_expiring_get_is_answered_before_its_client_times_out() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[("HTTP_BUDGET_MS", "150")]);
     rig.wait_for_lines(3);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn requests_that_cannot_be_used_are_answered_at_once() {
+fn unusable_requests_are_answered_at_once() {
     let mut rig = DispatcherRig::new();
     rig.write(0, &request(1, &[("SCRIPT_NAME", "/health")], b""));
     rig.wait_for_lines(1);
@@ -180,18 +180,22 @@
     rig.wait_for_lines(1);
     rig.send_get(4, "video", &[("HTTP_RESOURCE_KEY", "not hex")]);
     rig.wait_for_lines(1);
-    rig.comment("a field that would say more than it may, one without an end, a wait without one");
+    rig.comment(
+        "a field that would inject another, one over the length bound, a viewer timeout without bound",
+    );
     rig.send_get(7, "video", &[("HTTP_X_KNOWN", "ab,up=origin-5")]);
     rig.wait_for_lines(1);
     rig.send_get(8, "video", &[("HTTP_X_CHUNK", &"0".repeat(5000))]);
     rig.wait_for_lines(1);
     rig.send_get(9, "video", &[("HTTP_BUDGET_MS", "1e21")]);
     rig.wait_for_lines(1);
-    rig.comment("parameters over the bound, and its connection is closed behind the answer");
+    rig.comment("parameters over the length bound: the connection is closed after the answer");
     rig.send_get(5, "video", &[("HTTP_COOKIE", &"c".repeat(20_000))]);
     rig.wait_for_lines(2);
     let other = rig.connect_client();
-    rig.comment("another role; values; a type that is not known; a record of a request that is not open");
+    rig.comment(
+        "another role; a query of values; an unknown record type; a record of a request that is not open",
+    );
     rig.write(other, &record(1, 6, &[0, 2, 1, 0, 0, 0, 0, 0]));
     rig.wait_for_lines(1);
     rig.write(other, &record(9, 0, b"\x0f\0FCGI_MPXS_CONNS"));
@@ -199,7 +203,7 @@
     rig.write(other, &record(77, 0, b""));
     rig.wait_for_lines(1);
     rig.write(other, &record(5, 99, b"stray"));
-    rig.comment("a version that is not known closes the connection, and only that");
+    rig.comment("an unknown protocol version closes that connection alone");
     rig.connect_client();
     rig.write(other, b"GET / HTTP/1.1\r\n\r\n");
     rig.wait_for_lines(1);
@@ -207,17 +211,17 @@
 }
 
 #[test]
-fn a_host_that_writes_what_cannot_be_read_loses_its_connection() {
+fn an_answer_over_the_length_bound_closes_the_connection_to_its_host() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
-    rig.comment("an id that nobody waits for is passed over, a length over the bound is not");
+    rig.comment("an answer under an unknown id is ignored, a length over the bound is not");
     rig.answer(9, "200", "why=TCP_HIT", "stray");
     rig.answer_raw(b"*4\r\n$16\r\n0000000000000001\r\n$999999999\r\n");
     rig.wait_for_lines(1);
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
-    rig.comment("a word that is not known is an error");
+    rig.comment("an unknown status is an error");
     rig.send_get(2, "video", &[]);
     rig.wait_for_lines(1);
     rig.answer(2, "999", "-", "");
@@ -226,20 +230,20 @@
 }
 
 #[test]
-fn a_spoilt_answer_takes_down_its_connection_alone_and_what_was_there_is_sent_again() {
+fn a_malformed_answer_closes_only_its_connection_and_the_gets_on_it_are_sent_again() {
     let mut rig = DispatcherRig::new();
     for number in 1..=6 {
         rig.send_get(number, "video", &[]);
         rig.wait_for_lines(1);
     }
     let first = rig.last_reader.clone();
-    rig.comment("four connections have the six; a part of an answer stays one");
+    rig.comment("four connections carry the six GETs; a partial answer is never completed");
     rig.answer_raw(b"*4\r\n$16\r\n0000");
     rig.wait_for_lines(2);
-    rig.comment("noise, under no id");
+    rig.comment("an answer without a valid id");
     rig.answer_raw(b"*4\r\n$3\r\n1,2\r\n$3\r\n200\r\n$1\r\n-\r\n$0\r\n\r\n");
     rig.wait_for_lines(2);
-    rig.comment("a copy without its tag; under an id that nobody waits for; owed; a second copy");
+    rig.comment("an answer without its version tag; then an answer under an unknown id, the answer due, and a duplicate of it");
     rig.answer(1, "200", "why=TCP_HIT,rev=", "spoilt");
     rig.wait_for_lines(1);
     rig.answer(99, "200", "why=TCP_HIT", "nobody's");
@@ -248,8 +252,8 @@
     rig.wait_for_lines(1);
     rig.send_get(9, "video", &[]);
     rig.wait_for_lines(1);
-    assert_eq!(rig.last_reader, first, "nobody was blamed");
-    rig.comment("a write whose answer can't be read may have run");
+    assert_eq!(rig.last_reader, first, "a malformed answer does not count against its host");
+    rig.comment("a write whose answer is malformed may have run");
     rig.send_get(10, "confirm", &[]);
     rig.wait_for_lines(1);
     rig.answer_raw(b"?");
@@ -258,10 +262,10 @@
 }
 
 #[test]
-fn a_client_that_says_nothing_whole_is_answered_or_closed_in_time() {
+fn incomplete_requests_are_answered_or_their_connections_closed_in_time() {
     let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 8, memory: 192 << 20 });
     let params = [("SCRIPT_NAME", "/rpc/video"), ("HTTP_REQUEST_ID", "0000000000000001")];
-    rig.comment("the id of a GET in hand, for another object");
+    rig.comment("the id of a GET in flight, for another object");
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     rig.send_get(
@@ -272,21 +276,21 @@
     rig.wait_for_lines(1);
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
-    rig.comment("a body over the bound is refused before it ends");
-    let long = rig.connect_client();
-    let begun = request(1, &params, b"");
-    rig.write(long, &begun[..begun.len() - 11]);
+    rig.comment("a body over the length bound is refused before it ends");
+    let oversized = rig.connect_client();
+    let incomplete = request(1, &params, b"");
+    rig.write(oversized, &incomplete[..incomplete.len() - 11]);
     for _ in 0..3 {
-        rig.write(long, &record(5, 1, &[b'x'; 30_000]));
+        rig.write(oversized, &record(5, 1, &[b'x'; 30_000]));
     }
     rig.wait_for_lines(2);
-    rig.comment("mute, begun and not whole, a record that does not end");
-    for bytes in [&[][..], &begun[..begun.len() - 11], &begun[..50]] {
+    rig.comment("a client that sends nothing, one with an incomplete request, one with an incomplete record");
+    for bytes in [&[][..], &incomplete[..incomplete.len() - 11], &incomplete[..50]] {
         let client = rig.connect_client();
         rig.write(client, bytes);
     }
     rig.run_for_ms(200);
-    rig.comment("over the bound of four a mute one makes room");
+    rig.comment("over the bound of four clients, the one that sends nothing is closed");
     rig.connect_client();
     rig.wait_for_lines(1);
     rig.wait_for_lines(4);
@@ -294,14 +298,14 @@
 }
 
 #[test]
-fn the_change_log_is_followed_without_a_gap_or_a_repeat() {
+fn change_log_events_are_applied_without_a_gap_or_a_repeat() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "photo", &[]);
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
     rig.answer(1, "200", "why=TCP_HIT", "old");
     rig.wait_for_lines(1);
-    rig.comment("its group is purged; the next GET takes no older copy");
+    rig.comment("its group is purged; the next GET accepts no older copy");
     let purge = json!({"seq": 2, "invalidate": {"bucket": 17, "time": 9e15}});
     rig.answer_poll(&json!({"seq": 2, "results": [purge]}).to_string());
     rig.wait_for_poll();
@@ -309,43 +313,43 @@
     rig.wait_for_lines(1);
     rig.answer(2, "200", "why=TCP_MISS", "new");
     rig.wait_for_lines(1);
-    rig.comment("an answer that can't be read, then what was told and more: the cache leaves");
+    rig.comment("a malformed answer, then the same event again and a new one: the cache drains");
     rig.answer_poll("not what was asked for");
     rig.wait_for_poll();
-    let leaves =
+    let drains =
         json!({"seq": 3, "fleet": {"snapshot": false, "endpoints": [rig.host_line(&first, "leaving", 0)]}});
-    rig.answer_poll(&json!({"seq": 3, "results": [purge, leaves]}).to_string());
+    rig.answer_poll(&json!({"seq": 3, "results": [purge, drains]}).to_string());
     rig.wait_for_poll();
     rig.send_get(3, "photo", &[]);
     rig.wait_for_lines(1);
-    rig.comment("another now");
+    rig.comment("the GET went to another cache");
     assert_ne!(rig.last_reader, first);
     assert_snapshot!(rig.trace);
 }
 
 #[test]
-fn a_change_log_that_moves_or_breaks_off_tells_each_event_once() {
+fn events_are_applied_once_when_the_change_log_moves_or_its_answer_is_truncated() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "photo", &[]);
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
     rig.trace_poll();
-    rig.comment("it moves while a GET is in hand; the numbers go on");
+    rig.comment("the change log moves while a GET is in flight; the sequence numbers continue");
     rig.move_changelog();
     rig.trace_poll();
     rig.answer(1, "200", "why=TCP_HIT", "in hand");
     rig.wait_for_lines(1);
-    rig.comment("it stops and stays open: asked on a new connection");
+    rig.comment("the change log falls silent with its connection open: polled on a new connection");
     rig.wait_for_poll_timeout();
     rig.trace_poll();
-    rig.comment("events are missing before the one that came: asked for again; then the answer breaks off");
+    rig.comment("events are missing before the one received: polled again; then the answer is truncated");
     let purge = |seq: u64| json!({"seq": seq, "invalidate": {"bucket": 99, "time": 0}});
     rig.answer_poll(&json!({"seq": 7, "results": [purge(3)]}).to_string());
     rig.trace_poll();
     rig.truncate_poll_answer("{\"seq\": 3, \"results\": [{\"seq\": 2, \"fl");
     rig.trace_poll();
-    let leaves = json!({"seq": 2, "fleet": {"endpoints": [rig.host_line(&first, "leaving", 0)]}});
-    rig.answer_poll(&json!({"seq": 7, "results": [leaves, purge(3)]}).to_string());
+    let drains = json!({"seq": 2, "fleet": {"endpoints": [rig.host_line(&first, "leaving", 0)]}});
+    rig.answer_poll(&json!({"seq": 7, "results": [drains, purge(3)]}).to_string());
     rig.trace_poll();
     rig.send_get(2, "photo", &[]);
     rig.wait_for_lines(1);
@@ -354,36 +358,39 @@
 }
 
 #[test]
-fn of_a_later_configuration_only_the_change_log_counts() {
-    let told = json!({"name": "n1", "listen": "127.0.0.1:1", "seed": "8c", "changelog": "127.0.0.1:2",
+fn of_a_changed_configuration_only_the_change_log_address_takes_effect() {
+    let config = json!({"name": "n1", "listen": "127.0.0.1:1", "seed": "8c", "changelog": "127.0.0.1:2",
         "limits": {"memory_mb": 192, "sockets": 1024}, "known": {}, "settings": settings()});
-    let read = |name: &str, value: serde_json::Value| {
-        let mut later = told.clone();
+    let change = |name: &str, value: serde_json::Value| {
+        let mut later = config.clone();
         later[name] = value;
-        format!("{name}: {:?}", moved(&told.to_string(), &later.to_string()))
+        format!("{name}: {:?}", moved(&config.to_string(), &later.to_string()))
     };
-    let half = &told.to_string()[..200];
+    let truncated = &config.to_string()[..200];
     let lines = [
-        read("changelog", json!("127.0.0.1:3")),
-        read("changelog", json!("elsewhere")),
-        read("seed", json!("8d")),
-        read("limits", json!({"memory_mb": 64, "sockets": 1024})),
-        read("settings", json!({})),
-        format!("half: {:?}", moved(&told.to_string(), half).map_err(|e| e.starts_with("ROUTER_CONFIG: "))),
+        change("changelog", json!("127.0.0.1:3")),
+        change("changelog", json!("elsewhere")),
+        change("seed", json!("8d")),
+        change("limits", json!({"memory_mb": 64, "sockets": 1024})),
+        change("settings", json!({})),
+        format!(
+            "truncated: {:?}",
+            moved(&config.to_string(), truncated).map_err(|error| error.starts_with("ROUTER_CONFIG: "))
+        ),
     ];
     assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn a_connection_belongs_to_one_life_of_its_host() {
+fn connections_to_a_host_are_closed_when_it_has_restarted() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
-    rig.comment("it started anew without a word; what was out there ends, and goes on elsewhere or on a new connection");
-    let anew =
+    rig.comment("the host has restarted: the forward in flight there fails, and the GET is sent elsewhere or on a new connection");
+    let restarted =
         json!({"seq": 2, "fleet": {"endpoints": [rig.host_line(&first, "active", 9_000_000_000_000)]}});
-    rig.answer_poll(&json!({"seq": 2, "results": [anew]}).to_string());
+    rig.answer_poll(&json!({"seq": 2, "results": [restarted]}).to_string());
     rig.wait_for_lines(1);
     rig.answer(1, "200", "why=TCP_MISS", "the bytes");
     rig.wait_for_lines(1);
@@ -391,30 +398,30 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_does_not_grow_memory() {
+fn a_client_that_does_not_read_does_not_increase_buffered_bytes() {
     let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 1024, memory: 4 << 20 });
     rig.clients_paused = true;
-    let mut read_by = Vec::new();
+    let mut readers = Vec::new();
     for number in 1..=31 {
         rig.send_get(number, "video", &[]);
         rig.wait_for_lines(1);
-        read_by.push((number, rig.last_reader.clone()));
+        readers.push((number, rig.last_reader.clone()));
     }
-    for (number, host) in read_by {
+    for (number, host) in readers {
         rig.last_reader = host;
         rig.answer(number, "200", "why=TCP_HIT", &"x".repeat(240_000));
     }
     rig.run_for_ms(200);
-    let most = rig.dispatcher.buffered();
-    assert!(most < 2 << 20, "{most} bytes in buffers");
+    let buffered = rig.dispatcher.buffered();
+    assert!(buffered < 2 << 20, "{buffered} bytes in buffers");
     rig.clients_paused = false;
     rig.wait_for_lines(31);
     assert_eq!(rig.trace.matches("240086 bytes").count(), 31, "{}", rig.trace);
-    assert_eq!(rig.dispatcher.buffered(), 0, "all has gone out");
+    assert_eq!(rig.dispatcher.buffered(), 0, "buffers are not empty after all answers were read");
 }
 
 #[test]
-fn a_new_client_takes_the_place_of_the_one_idle_for_longest() {
+fn a_new_client_replaces_the_one_idle_for_longest() {
     let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 4, memory: 192 << 20 });
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
@@ -424,19 +431,19 @@
         rig.write(new, &request(1, &params, b""));
         rig.wait_for_lines(1);
     }
-    rig.comment("the first had a GET open");
+    rig.comment("the first client had a GET open");
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
     assert_snapshot!(rig.trace);
 }
 
 #[test]
-fn a_restart_is_waited_for_until_nothing_is_in_hand() {
+fn shutdown_waits_until_no_get_is_in_flight() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     rig.dispatcher.stop();
-    rig.comment("asked to end: what comes still is taken, on open connections and on new ones");
+    rig.comment("shutdown requested: requests are still accepted, on open connections and on new ones");
     let late = rig.connect_client();
     rig.send_get(2, "photo", &[]);
     rig.wait_for_lines(1);
@@ -445,34 +452,38 @@
     rig.write(late, &request(1, &[("SCRIPT_NAME", "/health")], b""));
     rig.wait_for_lines(1);
     rig.run_for_ms(1100);
-    assert!(!rig.dispatcher.is_done(), "a GET is in hand");
+    assert!(!rig.dispatcher.is_done(), "done while a GET is in flight");
     rig.answer(1, "200", "why=TCP_HIT", "the last");
     rig.wait_for_lines(2);
-    assert!(rig.dispatcher.is_done(), "all is answered, and all clients have closed");
+    assert!(rig.dispatcher.is_done(), "not done although all GETs are answered and all clients have closed");
     assert_snapshot!(rig.trace);
 }
 
 #[test]
-fn a_host_gone_for_longer_than_any_get_gives_its_index_to_the_next() {
-    let mut told = settings();
-    for class in told["classes"].as_array_mut().unwrap() {
+fn the_index_of_a_host_removed_for_longer_than_any_get_is_reused() {
+    let mut settings = settings();
+    for class in settings["classes"].as_array_mut().unwrap() {
         class["deadline_ms"] = json!(300.0);
     }
-    let mut rig = DispatcherRig::with_settings(told, Room { descriptors: 1024, memory: 192 << 20 });
+    let mut rig = DispatcherRig::with_settings(settings, Room { descriptors: 1024, memory: 192 << 20 });
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
-    rig.comment("it goes; a new one, at its address, is told once nothing can name the old one any more");
-    let gone = json!({"seq": 2, "fleet": {"endpoints": [rig.host_line(&first, "left", 0)]}});
+    rig.comment(
+        "the host is removed; a new one at its address is listed once no GET can refer to the old one",
+    );
+    let removed = json!({"seq": 2, "fleet": {"endpoints": [rig.host_line(&first, "left", 0)]}});
     let mut new = rig.host_line(&first, "active", 0);
     new["name"] = json!("cache-9");
-    rig.answer_poll(&json!({"seq": 2, "results": [gone]}).to_string());
+    rig.answer_poll(&json!({"seq": 2, "results": [removed]}).to_string());
     rig.wait_for_lines(1);
     rig.run_for_ms(1500);
-    let told = json!({"seq": 3, "fleet": {"endpoints": [new]}});
-    rig.answer_poll(&json!({"seq": 3, "results": [told]}).to_string());
+    let added = json!({"seq": 3, "fleet": {"endpoints": [new]}});
+    rig.answer_poll(&json!({"seq": 3, "results": [added]}).to_string());
     rig.wait_for_poll();
-    rig.comment("its own part of the objects comes to it; the late answer of the old one went nowhere");
+    rig.comment(
+        "the new host receives its own share of the objects; the late answer of the old one was dropped",
+    );
     for number in 2..9 {
         rig.send_get(number, "video", &[("HTTP_RESOURCE_KEY", &format!("{number:016x}"))]);
         rig.wait_for_lines(1);
@@ -484,18 +495,18 @@
 }
 
 #[test]
-fn a_wrong_start_is_told_in_one_line() {
-    let good = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "changelog": "127.0.0.1:1",
+fn an_invalid_configuration_is_reported_in_one_line() {
+    let valid = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "changelog": "127.0.0.1:1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"seq": 0, "results": []},
         "settings": settings()});
-    let start = |told: &serde_json::Value| {
-        let turns = calloop::EventLoop::try_new().map_err(|e| e.to_string())?;
-        let text = told.to_string();
-        let told = ConfigFile::parse(&text)?;
-        Dispatcher::start(turns.handle(), told.startup()?).map(|_| ())
+    let start = |config: &serde_json::Value| {
+        let event_loop = calloop::EventLoop::try_new().map_err(|error| error.to_string())?;
+        let text = config.to_string();
+        let config = ConfigFile::parse(&text)?;
+        Dispatcher::start(event_loop.handle(), config.startup()?).map(|_| ())
     };
-    start(&good).unwrap();
-    let mut faults = Vec::new();
+    start(&valid).unwrap();
+    let mut errors = Vec::new();
     for (name, value) in [
         ("listen", json!("here")),
         ("listen", json!("192.0.2.1:1")),
@@ -504,9 +515,9 @@
         ("limits", json!({})),
         ("settings", json!({})),
     ] {
-        let mut told = good.clone();
-        told[name] = value;
-        faults.push(start(&told).unwrap_err());
+        let mut invalid = valid.clone();
+        invalid[name] = value;
+        errors.push(start(&invalid).unwrap_err());
     }
-    assert_snapshot!(faults.join("\n"));
+    assert_snapshot!(errors.join("\n"));
 }
