--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Where two events cross on sockets: each crossing is forced by the order in which the other sides write, close and read, by
-//! what is in the system's buffers before the dispatcher looks.
+//! Races between two events on sockets. Each race is forced by the order in which clients, hosts and the change log write,
+//! close and read, that is, by what is in the system's buffers before the dispatcher reads them.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const ROOMY: Room = Room { descriptors: 1024, memory: 192 << 20 };
+const AMPLE_LIMITS: Room = Room { descriptors: 1024, memory: 192 << 20 };
 
-/// A request as a client writes it, with `body`.
+/// A FastCGI request with default parameters and `body`.
 fn object_request(number: u16, ds: &str, body: &[u8]) -> Vec<u8> {
     common::object_request(number, ds, &[], body)
 }
@@ -20,18 +20,18 @@
     record(2, number, b"")
 }
 
-/// The settings, where each client waits so long at most.
-fn hurried(deadline_ms: f64) -> Value {
-    let mut told = settings();
-    for class in told["classes"].as_array_mut().unwrap() {
+/// The test settings, with this viewer timeout for all delivery services.
+fn settings_with_deadline(deadline_ms: f64) -> Value {
+    let mut settings = settings();
+    for class in settings["classes"].as_array_mut().unwrap() {
         class["deadline_ms"] = json!(deadline_ms);
     }
-    told
+    settings
 }
 
-/// A rig whose dispatcher has a connection to each cache and to the origin, so that what is decided goes out at once.
-fn warm(told: Value) -> DispatcherRig {
-    let mut rig = DispatcherRig::with_settings(told, ROOMY);
+/// Returns a rig whose dispatcher has a connection to each cache and to the origin, so that forwards are sent at once.
+fn rig_with_connections(settings: Value) -> DispatcherRig {
+    let mut rig = DispatcherRig::with_settings(settings, AMPLE_LIMITS);
     for number in 1000..1040 {
         rig.send_get(number, "video", &[("HTTP_RESOURCE_KEY", &format!("{number:016x}"))]);
         rig.wait_for_lines(1);
@@ -48,21 +48,21 @@
     rig
 }
 
-/// Turns until the dispatcher is done, for so long at most; how long it took.
-fn ended(rig: &mut DispatcherRig, within: u64) -> Duration {
+/// Runs turns until the dispatcher is done, for at most `limit_ms`, and returns how long it took.
+fn wait_until_done(rig: &mut DispatcherRig, limit_ms: u64) -> Duration {
     let start = Instant::now();
-    while !rig.dispatcher.is_done() && start.elapsed() < ms(within) {
+    while !rig.dispatcher.is_done() && start.elapsed() < ms(limit_ms) {
         rig.turn();
     }
-    assert!(rig.dispatcher.is_done(), "not done after {within} ms:\n{}", rig.trace);
+    assert!(rig.dispatcher.is_done(), "not done after {limit_ms} ms:\n{}", rig.trace);
     start.elapsed()
 }
 
-// A client that leaves.
+// Clients that abort or disconnect.
 
 #[test]
-fn a_request_and_its_abort_read_together_are_not_sent_on() {
-    let mut rig = warm(settings());
+fn a_request_read_together_with_its_abort_is_not_forwarded() {
+    let mut rig = rig_with_connections(settings());
     rig.write(0, &[object_request(1, "video", b""), abort(1), object_request(2, "video", b"")].concat());
     rig.wait_for_lines(2);
     assert_eq!((rig.forwards_read(1), rig.forwards_read(2)), (0, 1), "{}", rig.trace);
@@ -70,19 +70,19 @@
 }
 
 #[test]
-fn a_request_and_the_end_of_its_connection_read_together_are_not_sent_on() {
+fn requests_read_together_with_the_end_of_their_connection_are_not_forwarded() {
     for resets in [false, true] {
-        let mut rig = warm(settings());
-        let gone = rig.connect_client();
+        let mut rig = rig_with_connections(settings());
+        let client = rig.connect_client();
         rig.run_for_ms(20);
         rig.write(
-            gone,
+            client,
             &[object_request(1, "video", b""), object_request(2, "confirm", b"signed for")].concat(),
         );
         if resets {
-            rig.reset_client(gone)
+            rig.reset_client(client)
         } else {
-            rig.close_client(gone)
+            rig.close_client(client)
         }
         rig.send_get(3, "video", &[]);
         rig.wait_for_lines(1);
@@ -96,23 +96,23 @@
 }
 
 #[test]
-fn a_number_called_off_and_used_again_at_once_is_another_request() {
-    let mut rig = warm(settings());
-    let again = request(1, &[("SCRIPT_NAME", "/health")], b"");
-    rig.write(0, &[object_request(1, "video", b""), abort(1), again].concat());
+fn a_request_number_reused_right_after_its_abort_is_a_new_request() {
+    let mut rig = rig_with_connections(settings());
+    let second = request(1, &[("SCRIPT_NAME", "/health")], b"");
+    rig.write(0, &[object_request(1, "video", b""), abort(1), second].concat());
     rig.wait_for_lines(2);
     assert!(rig.trace.contains("client 0 reads 1: Status: 200 OK"), "{}", rig.trace);
     assert_eq!(rig.forwards_read(1), 0, "{}", rig.trace);
 }
 
 #[test]
-fn a_forward_that_fails_as_its_client_leaves_is_not_tried_again() {
+fn a_forward_that_fails_as_its_client_disconnects_is_not_retried() {
     for by_abort in [true, false] {
-        let mut rig = warm(settings());
+        let mut rig = rig_with_connections(settings());
         rig.send_get(1, "video", &[]);
         rig.wait_for_lines(1);
         let first = rig.last_reader.clone();
-        // Both are there before the dispatcher looks.
+        // Both events are in the system's buffers before the dispatcher reads them.
         rig.close_host(&first, false);
         if by_abort {
             rig.write(0, &abort(1))
@@ -126,15 +126,15 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_as_its_client_leaves_takes_nothing() {
-    let mut told = settings();
-    told["limits"]["connect_timeout_ms"] = json!(5000.0);
-    let mut rig = DispatcherRig::with_settings(told, ROOMY);
+fn a_connection_established_as_its_client_aborts_carries_no_forward() {
+    let mut settings = settings();
+    settings["limits"]["connect_timeout_ms"] = json!(5000.0);
+    let mut rig = DispatcherRig::with_settings(settings, AMPLE_LIMITS);
     rig.fill_accept_queue("cache-0");
     rig.send_get(1, "video", &[]);
     rig.run_for_ms(50);
     rig.empty_accept_queue("cache-0");
-    // The system asks for the connection a second time; the abort is there when it comes up.
+    // The system repeats the SYN after 1 s; the abort has arrived when the connection is established.
     rig.run_for_ms(700);
     rig.write(0, &abort(1));
     sleep(ms(500));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_forward_that_its_host_has_not_begun_to_read_is_taken_back() {
+fn an_aborted_forward_that_is_not_yet_sent_is_removed_from_the_buffer() {
     let mut rig = DispatcherRig::new();
     rig.shrink_receive_buffers();
     rig.set_reading_paused("origin-5", true);
@@ -157,41 +157,46 @@
     rig.wait_for_lines(1);
     rig.set_reading_paused("origin-5", false);
     rig.run_for_ms(400);
-    let reads = |id| rig.forwards_read_by("origin-5", id);
-    assert_eq!((reads(1), reads(12), reads(20), reads(21)), (1, 1, 0, 1), "{}", rig.trace);
+    let forwards_read = |id| rig.forwards_read_by("origin-5", id);
+    assert_eq!(
+        (forwards_read(1), forwards_read(12), forwards_read(20), forwards_read(21)),
+        (1, 1, 0, 1),
+        "{}",
+        rig.trace
+    );
     assert!(!rig.trace.contains("reads cancel 0000000000000014"), "{}", rig.trace);
 }
 
 #[test]
-fn a_flood_hides_nobody_elses_end_and_is_refused() {
+fn flooding_clients_are_refused_and_do_not_delay_the_abort_of_another() {
     let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 1024, memory: 4 << 20 });
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
     let flooding: Vec<usize> = (0..4).map(|_| rig.connect_client()).collect();
     for &client in &flooding {
-        // None becomes whole: the bodies are held.
+        // No request is completed, so the dispatcher buffers the bodies.
         for number in 1..=8 {
-            let whole = object_request(100 * client as u16 + number, "confirm", &[b'x'; 48_000]);
-            rig.write_with_turns(client, &whole[..whole.len() - 11]);
+            let request_bytes = object_request(100 * client as u16 + number, "confirm", &[b'x'; 48_000]);
+            rig.write_with_turns(client, &request_bytes[..request_bytes.len() - 11]);
         }
     }
     rig.run_for_ms(100);
-    let most = rig.dispatcher.buffered();
-    assert!(most < 2 << 20, "{most} bytes in buffers");
+    let buffered = rig.dispatcher.buffered();
+    assert!(buffered < 2 << 20, "{buffered} bytes in buffers");
     rig.write(0, &abort(1));
     rig.run_for_ms(50);
     assert!(rig.trace.contains(&format!("{first} reads cancel 0000000000000001")), "{}", rig.trace);
-    assert!(rig.trace.contains("status 2"), "what floods is refused: {}", rig.trace);
+    assert!(rig.trace.contains("status 2"), "no flooding request was refused: {}", rig.trace);
     rig.write(0, &object_request(2, "video", b""));
     rig.wait_for_lines(1);
-    assert_eq!(rig.forwards_read(2), 1, "others are served meanwhile: {}", rig.trace);
+    assert_eq!(rig.forwards_read(2), 1, "another client was not served meanwhile: {}", rig.trace);
 }
 
-/// A client that has asked nothing and writes without end is idle, and is read once more before it makes room for a new one:
-/// it is read only as far as a request may be long.
+/// A client that has no request open and writes without end counts as idle. Before it is closed in favour of a new client it is
+/// read once more, and only up to the length that a request may have; without that bound the buffers would grow with the flood.
 #[test]
-fn a_flood_on_the_connection_that_makes_room_is_read_no_further_than_a_request() {
+fn a_flooding_client_closed_for_a_new_one_is_read_no_further_than_a_request() {
     for piece in [vec![0; 60_000], record(5, 9, &[b'x'; 60_000])] {
         let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 6, memory: 48 << 20 });
         let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
@@ -209,14 +214,14 @@
         assert!(peak < 4 << 20, "{peak} bytes in buffers");
         rig.run_for_ms(100);
         drop(rig);
-        assert!(flood.join().unwrap() < 64 << 20, "its connection was closed");
+        assert!(flood.join().unwrap() < 64 << 20, "the flooding connection was not closed");
     }
 }
 
 // Shutdown.
 
 #[test]
-fn what_lies_in_the_systems_buffers_as_the_last_look_comes_is_answered() {
+fn requests_in_the_systems_buffers_at_the_last_read_before_shutdown_are_answered() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
@@ -224,7 +229,7 @@
     rig.wait_for_lines(1);
     rig.dispatcher.stop();
     rig.run_for_ms(20);
-    // A request on an open connection, and one on a connection that nobody has accepted.
+    // A request on an open connection, and one on a connection that is not yet accepted.
     let late = rig.connect_client();
     rig.write(0, &object_request(2, "video", b""));
     rig.write(late, &object_request(3, "video", b""));
@@ -235,11 +240,11 @@
     }
     rig.wait_for_lines(4);
     assert_eq!(rig.trace.matches("still here").count(), 2, "{}", rig.trace);
-    ended(&mut rig, 300);
+    wait_until_done(&mut rig, 300);
 }
 
 #[test]
-fn what_is_read_after_the_half_close_is_never_sent_on() {
+fn a_request_read_after_the_half_close_is_not_forwarded() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
@@ -250,46 +255,46 @@
     rig.run_for_ms(800);
     assert!(rig.trace.ends_with("client 0 is closed\n"), "{}", rig.trace);
     rig.write(0, &object_request(2, "video", b""));
-    assert!(!rig.is_client_reset(0), "what crosses the close resets nothing");
-    let took = ended(&mut rig, 700);
+    assert!(!rig.is_client_reset(0), "data that crosses the close reset the connection");
+    let took = wait_until_done(&mut rig, 700);
     assert_eq!(rig.forwards_read(2), 0, "{}", rig.trace);
-    assert!(took > ms(100), "a client that rests is waited for until the bound: {took:?}");
+    assert!(took > ms(100), "a client that does not close was not waited for until the bound: {took:?}");
 }
 
 #[test]
-fn a_request_half_read_as_the_end_comes_is_refused_and_not_lost() {
+fn a_request_half_read_at_shutdown_is_refused_and_not_lost() {
     let mut rig = DispatcherRig::new();
-    let whole = object_request(1, "confirm", b"signed for");
-    rig.write(0, &whole[..60]);
+    let request_bytes = object_request(1, "confirm", b"signed for");
+    rig.write(0, &request_bytes[..60]);
     rig.dispatcher.stop();
     rig.run_for_ms(800);
     assert!(!rig.dispatcher.is_done());
-    rig.write(0, &whole[60..]);
+    rig.write(0, &request_bytes[60..]);
     rig.wait_for_lines(2);
     assert!(rig.trace.contains("client 0 reads 1: status 2"), "{}", rig.trace);
     assert_eq!(rig.forwards_read(1), 0, "{}", rig.trace);
-    ended(&mut rig, 100);
+    wait_until_done(&mut rig, 100);
 }
 
-/// As the end closes what rests, a request comes on the first connection just when the second, not kept, is to be closed
-/// behind its refusal.
+/// While shutdown closes idle connections, a request arrives on the first connection in the turn in which the second, which is
+/// not kept alive, is to be closed after its refusal.
 #[test]
-fn a_request_that_crosses_the_end_while_another_connection_is_closed_ends_nothing_else() {
+fn a_request_that_arrives_at_shutdown_while_another_connection_is_closed_is_not_forwarded() {
     let mut rig = DispatcherRig::new();
     let other = rig.connect_client();
     rig.ignore_peer_close(0);
     rig.ignore_peer_close(other);
-    let kept = object_request(1, "video", b"");
-    let mut last = object_request(1, "photo", b"");
-    last[10] = 0;
+    let keep_alive = object_request(1, "video", b"");
+    let mut close_after = object_request(1, "photo", b"");
+    close_after[10] = 0;
     rig.run_for_ms(20);
     rig.dispatcher.stop();
     rig.run_for_ms(600);
-    for (client, bytes) in [(0, &kept), (other, &last)] {
+    for (client, bytes) in [(0, &keep_alive), (other, &close_after)] {
         rig.write(client, &bytes[..bytes.len() - 11]);
     }
     rig.run_for_ms(150);
-    for (client, bytes) in [(0, &kept), (other, &last)] {
+    for (client, bytes) in [(0, &keep_alive), (other, &close_after)] {
         rig.write(client, &bytes[bytes.len() - 11..]);
     }
     sleep(ms(5));
@@ -298,12 +303,12 @@
         rig.write(0, &object_request(2, "video", b""));
         sleep(ms(5));
     });
-    ended(&mut rig, 2000);
+    wait_until_done(&mut rig, 2000);
     assert_eq!(rig.forwards_read(2), 0, "{}", rig.trace);
 }
 
 #[test]
-fn a_deadline_past_the_kill_is_answered_before_it() {
+fn a_request_whose_deadline_lies_after_the_kill_is_answered_before_the_kill() {
     let mut rig = DispatcherRig::new();
     let budget = ("HTTP_BUDGET_MS", "60000");
     rig.send_get(1, "video", &[budget]);
@@ -313,32 +318,41 @@
     let start = Instant::now();
     rig.send_get(3, "order", &[budget]);
     rig.wait_for_lines(1);
-    let took = ended(&mut rig, 3700);
-    let answers = |text: &str| rig.trace.matches(text).count();
-    assert_eq!(answers("client 0 reads 2: Status: 502"), 1, "it may run: {}", rig.trace);
+    let took = wait_until_done(&mut rig, 3700);
+    let count = |text: &str| rig.trace.matches(text).count();
+    assert_eq!(
+        count("client 0 reads 2: Status: 502"),
+        1,
+        "a write that may run was not answered with 502 once: {}",
+        rig.trace
+    );
     for number in [1, 3] {
-        assert_eq!(answers(&format!("client 0 reads {number}: Status:")), 1, "{}", rig.trace);
+        assert_eq!(count(&format!("client 0 reads {number}: Status:")), 1, "{}", rig.trace);
     }
     assert!(start.elapsed() < ms(3700) && took > ms(3000), "{took:?}");
 }
 
 #[test]
-fn a_client_that_never_reads_does_not_put_off_the_end() {
-    let mut rig = DispatcherRig::with_settings(hurried(300.0), ROOMY);
+fn a_client_that_never_reads_does_not_delay_shutdown() {
+    let mut rig = DispatcherRig::with_settings(settings_with_deadline(300.0), AMPLE_LIMITS);
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     rig.clients_paused = true;
     rig.dispatcher.stop();
     rig.dispatcher.stop();
     rig.answer(1, "200", "why=TCP_HIT", &"x".repeat(240_000));
-    // The least time to the kill that these settings leave is 1 s.
-    let took = ended(&mut rig, 1000);
-    assert!(took >= ms(650), "what still comes is taken until none is to come: {took:?}");
+    // With these settings the shortest time to the kill is 1 s.
+    let took = wait_until_done(&mut rig, 1000);
+    assert!(took >= ms(650), "shutdown did not wait for requests that may still arrive: {took:?}");
 }
 
 #[test]
-fn asked_to_end_before_the_first_list_it_ends() {
-    let mut rig = DispatcherRig::with_known_events(hurried(300.0), ROOMY, &json!({"seq": 0, "results": []}));
+fn a_dispatcher_stopped_before_its_first_host_list_shuts_down() {
+    let mut rig = DispatcherRig::with_known_events(
+        settings_with_deadline(300.0),
+        AMPLE_LIMITS,
+        &json!({"seq": 0, "results": []}),
+    );
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     rig.dispatcher.stop();
@@ -348,11 +362,11 @@
     for number in [1, 2] {
         assert!(rig.trace.contains(&format!("client 0 reads {number}: Status: 503")), "{}", rig.trace);
     }
-    ended(&mut rig, 1000);
+    wait_until_done(&mut rig, 1000);
 }
 
 #[test]
-fn a_list_change_and_a_moved_change_log_count_while_draining() {
+fn list_changes_and_a_moved_change_log_are_followed_during_shutdown() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
@@ -376,14 +390,14 @@
         rig.last_reader.clone_from(&first);
     }
     rig.wait_for_lines(2);
-    ended(&mut rig, 1000);
+    wait_until_done(&mut rig, 1000);
     assert_eq!(rig.trace.matches("| the bytes").count(), 2, "{}", rig.trace);
 }
 
-// Closing what is idle.
+// Closing idle connections.
 
 #[test]
-fn a_close_from_both_sides_at_once_is_one() {
+fn connections_closed_by_both_sides_at_once_are_released_once() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
@@ -393,33 +407,33 @@
     rig.run_for_ms(20);
     rig.dispatcher.stop();
     rig.run_for_ms(650);
-    // The client and the host close in the span in which the dispatcher does.
+    // The clients and the host close in the same interval as the dispatcher.
     rig.close_client(0);
     rig.reset_client(other);
     rig.close_host(&host, false);
     sleep(ms(100));
-    ended(&mut rig, 100);
+    wait_until_done(&mut rig, 100);
     assert_eq!((rig.dispatcher.clients(), rig.dispatcher.buffered()), (0, 0));
 }
 
 #[test]
-fn a_request_that_came_on_the_connection_idle_for_longest_is_answered() {
+fn a_request_already_received_on_the_connection_idle_for_longest_is_answered() {
     let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 6, memory: 192 << 20 });
     let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
     for client in [rig.connect_client(), rig.connect_client(), 0] {
         rig.write(client, &health);
         rig.wait_for_lines(1);
     }
-    // The first is idle for longest, and its request is there before the new one is let in.
+    // Client 1 is idle for longest, and its request has arrived before the new connection is accepted.
     rig.connect_client();
     rig.write(1, &health);
     rig.wait_for_lines(2);
-    let first = rig.trace.matches("client 1 reads 1: Status: 200 OK").count();
-    assert_eq!((first, rig.trace.contains("client 1 is closed")), (2, false), "{}", rig.trace);
+    let answers = rig.trace.matches("client 1 reads 1: Status: 200 OK").count();
+    assert_eq!((answers, rig.trace.contains("client 1 is closed")), (2, false), "{}", rig.trace);
 }
 
 #[test]
-fn what_crosses_the_close_of_an_idle_connection_resets_nothing() {
+fn data_that_crosses_the_close_of_an_idle_connection_causes_no_reset() {
     let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 40, memory: 192 << 20 });
     rig.ignore_peer_close(0);
     let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
@@ -435,12 +449,12 @@
 }
 
 #[test]
-fn the_answer_to_what_is_refused_comes_though_its_rest_does_too() {
+fn a_refusal_is_delivered_although_the_rest_of_the_request_still_arrives() {
     let mut rig = DispatcherRig::new();
     let client = rig.connect_client();
     rig.ignore_peer_close(client);
-    let begun = object_request(1, "confirm", b"");
-    rig.write(client, &begun[..begun.len() - 11]);
+    let incomplete = object_request(1, "confirm", b"");
+    rig.write(client, &incomplete[..incomplete.len() - 11]);
     for _ in 0..3 {
         rig.write(client, &record(5, 1, &[b'x'; 30_000]));
     }
@@ -449,33 +463,35 @@
     assert!(rig.trace.contains(&format!("client {client} reads 1: Status: 400")), "{}", rig.trace);
 }
 
-/// A client that wants its connection closed behind the answer has it closed, once the answer has gone out.
+/// A client that does not ask to keep its connection has it closed once the answer is sent.
 #[test]
-fn a_connection_that_is_not_kept_is_closed_behind_its_answer() {
+fn a_connection_that_is_not_kept_alive_is_closed_after_its_answer() {
     let mut rig = DispatcherRig::new();
-    let (closes, cut) = (rig.connect_client(), rig.connect_client());
+    let (complete, incomplete) = (rig.connect_client(), rig.connect_client());
     let mut bytes = request(1, &[("SCRIPT_NAME", "/health")], b"");
     bytes[10] = 0;
-    rig.write(closes, &bytes);
+    rig.write(complete, &bytes);
     rig.wait_for_lines(2);
-    rig.comment("begun, and then nothing: refused after its time, and closed behind that");
-    rig.write(cut, &request(2, &[("SCRIPT_NAME", "/health")], b""));
+    rig.comment(
+        "a request that is never completed is refused after a time, and its connection is closed after that",
+    );
+    rig.write(incomplete, &request(2, &[("SCRIPT_NAME", "/health")], b""));
     let half = object_request(3, "photo", b"");
-    rig.write(cut, &half[..half.len() - 11]);
+    rig.write(incomplete, &half[..half.len() - 11]);
     rig.wait_for_lines(3);
-    let answers = |text: &str| rig.trace.matches(text).count();
-    assert_eq!(answers(&format!("client {closes} reads 1: Status: 200")), 1, "{}", rig.trace);
-    assert_eq!(answers(&format!("client {cut} reads 3: Status: 400")), 1, "{}", rig.trace);
-    for client in [closes, cut] {
-        assert_eq!(answers(&format!("client {client} is closed")), 1, "{}", rig.trace);
+    let count = |text: &str| rig.trace.matches(text).count();
+    assert_eq!(count(&format!("client {complete} reads 1: Status: 200")), 1, "{}", rig.trace);
+    assert_eq!(count(&format!("client {incomplete} reads 3: Status: 400")), 1, "{}", rig.trace);
+    for client in [complete, incomplete] {
+        assert_eq!(count(&format!("client {client} is closed")), 1, "{}", rig.trace);
     }
 }
 
 #[test]
 fn an_idle_connection_to_a_host_is_closed_without_a_reset() {
-    let mut told = settings();
-    told["limits"]["conn_idle_ms"] = json!(100.0);
-    let mut rig = DispatcherRig::with_settings(told, ROOMY);
+    let mut settings = settings();
+    settings["limits"]["conn_idle_ms"] = json!(100.0);
+    let mut rig = DispatcherRig::with_settings(settings, AMPLE_LIMITS);
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
@@ -486,14 +502,14 @@
     rig.run_for_ms(20);
     rig.answer_raw(b"00000002\r\n");
     rig.run_for_ms(20);
-    assert_eq!(rig.closed_and_reset_counts(&host), (1, 0), "closed, and not reset");
+    assert_eq!(rig.closed_and_reset_counts(&host), (1, 0), "expected one connection closed and none reset");
 }
 
 // Answers and retries.
 
-/// What has left whole may have run, and is never sent again; what has not is proven not run.
+/// A write of which all bytes were sent may have run and is never sent again; one not sent completely is proven not run.
 #[test]
-fn a_host_that_closes_under_writes_has_run_only_what_left_whole() {
+fn when_a_host_closes_only_writes_not_sent_completely_are_sent_again() {
     let mut rig = DispatcherRig::new();
     rig.shrink_receive_buffers();
     rig.set_reading_paused("origin-5", true);
@@ -505,32 +521,35 @@
     rig.close_host("origin-5", false);
     rig.set_reading_paused("origin-5", false);
     rig.run_for_ms(200);
-    let count = |id: u16| {
+    let errored_and_read = |id: u16| {
         let errored = rig.trace.matches(&format!("client 0 reads {id}: Status: 502")).count();
         (errored, rig.forwards_read(id))
     };
-    let ends: Vec<(usize, usize)> = numbers.map(count).collect();
-    assert!(ends.iter().all(|end| matches!(end, (1, 0) | (0, 1))), "{ends:?}");
-    assert!(ends.contains(&(1, 0)) && ends.contains(&(0, 1)), "both were forced: {ends:?}");
+    let outcomes: Vec<(usize, usize)> = numbers.map(errored_and_read).collect();
+    assert!(outcomes.iter().all(|outcome| matches!(outcome, (1, 0) | (0, 1))), "{outcomes:?}");
+    assert!(
+        outcomes.contains(&(1, 0)) && outcomes.contains(&(0, 1)),
+        "the test did not force both outcomes: {outcomes:?}"
+    );
 }
 
 #[test]
-fn a_connection_that_is_up_in_the_turn_in_which_its_time_ends_is_used() {
-    let mut told = settings();
-    told["limits"]["connect_timeout_ms"] = json!(1150.0);
-    let mut rig = DispatcherRig::with_settings(told, ROOMY);
+fn a_connection_established_in_the_turn_of_its_timeout_is_used() {
+    let mut settings = settings();
+    settings["limits"]["connect_timeout_ms"] = json!(1150.0);
+    let mut rig = DispatcherRig::with_settings(settings, AMPLE_LIMITS);
     rig.fill_accept_queue("cache-0");
     rig.send_get(1, "video", &[]);
     rig.run_for_ms(50);
     rig.empty_accept_queue("cache-0");
-    // The system asks a second time after 1 s; nothing turns until its time is over too.
+    // The system repeats the SYN after 1 s; no turn runs until the connect timeout has passed too.
     sleep(ms(1200));
     rig.wait_for_lines(1);
     assert_eq!((rig.forwards_read_by("cache-0", 1), rig.forwards_read(1)), (1, 1), "{}", rig.trace);
 }
 
 #[test]
-fn an_answer_and_the_end_of_its_connection_read_together_are_an_answer() {
+fn an_answer_read_together_with_the_end_of_its_connection_is_returned() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
@@ -543,33 +562,39 @@
     assert_eq!(rig.forwards_read(1), 1, "{}", rig.trace);
 }
 
-/// A host answers twice, the second time some ms late: that is not the answer to what was sent to it anew.
+/// A host answers a forward twice, the second time some milliseconds late. The second answer must not be taken for the answer to
+/// the next forward of the same GET to that host.
 #[test]
-fn a_second_answer_that_comes_late_ends_no_other_forward() {
+fn a_late_duplicate_answer_does_not_end_a_later_forward() {
     let mut rig = DispatcherRig::new();
     let drains = ["cache-1", "cache-2"].map(|name| json!({"name": name, "status": "leaving"}));
-    let told = json!({"seq": 2, "fleet": {"endpoints": drains}});
-    rig.answer_poll(&json!({"seq": 2, "results": [told]}).to_string());
+    let event = json!({"seq": 2, "fleet": {"endpoints": drains}});
+    rig.answer_poll(&json!({"seq": 2, "results": [event]}).to_string());
     rig.wait_for_poll();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     rig.answer(1, "500", "why=PEER_DEAD", "");
     rig.wait_for_lines(1);
-    assert_eq!(rig.forwards_read_by("cache-0", 1), 2, "no other cache is left: {}", rig.trace);
+    assert_eq!(
+        rig.forwards_read_by("cache-0", 1),
+        2,
+        "the GET was not sent again to the only cache left: {}",
+        rig.trace
+    );
     rig.answer_again_on_first_connection("cache-0", 1, "500");
     rig.run_for_ms(50);
-    assert_eq!(rig.forwards_read(1), 2, "one forward out at a time: {}", rig.trace);
+    assert_eq!(rig.forwards_read(1), 2, "more than one forward in flight: {}", rig.trace);
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
     assert!(rig.trace.ends_with("| the bytes\n"), "{}", rig.trace);
 }
 
 #[test]
-fn a_tokened_repeat_does_not_begin_after_its_window() {
-    let mut told = settings();
-    told["limits"]["connect_timeout_ms"] = json!(5000.0);
-    told["classes"][3]["key_ttl_ms"] = json!(300.0);
-    let mut rig = DispatcherRig::with_settings(told, ROOMY);
+fn a_tokened_get_is_not_sent_again_after_its_window() {
+    let mut settings = settings();
+    settings["limits"]["connect_timeout_ms"] = json!(5000.0);
+    settings["classes"][3]["key_ttl_ms"] = json!(300.0);
+    let mut rig = DispatcherRig::with_settings(settings, AMPLE_LIMITS);
     rig.send_get(1, "order", &[]);
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
@@ -577,7 +602,7 @@
     for host in &others {
         rig.fill_accept_queue(host);
     }
-    // It may have run; the next forward waits for a connection while its window ends.
+    // The GET may have run; the next forward waits for a connection until after the token's window.
     rig.close_host(&first, true);
     rig.run_for_ms(100);
     for host in &others {
@@ -589,7 +614,7 @@
 }
 
 #[test]
-fn what_a_draining_host_has_not_begun_to_read_goes_elsewhere() {
+fn forwards_not_yet_sent_to_a_draining_host_go_elsewhere() {
     let mut rig = DispatcherRig::new();
     rig.shrink_receive_buffers();
     let mut number = 1;
@@ -597,7 +622,7 @@
     rig.wait_for_lines(1);
     let host = rig.last_reader.clone();
     rig.set_reading_paused(&host, true);
-    // Bodies that a GET may carry too, until they wait on this side.
+    // GETs with bodies, until the dispatcher itself has to buffer them.
     while number < 30 {
         number += 1;
         rig.write(0, &object_request(number, "video", &[b'x'; 40_000]));
@@ -606,8 +631,8 @@
     let drains = json!({"seq": 2, "fleet": {"endpoints": [{"name": host, "status": "leaving"}]}});
     rig.answer_poll(&json!({"seq": 2, "results": [drains]}).to_string());
     rig.run_for_ms(150);
-    let here: usize = (2..=30).map(|id| rig.forwards_read(id) - rig.forwards_read_by(&host, id)).sum();
-    assert!(here > 0, "{}", rig.trace);
+    let rerouted: usize = (2..=30).map(|id| rig.forwards_read(id) - rig.forwards_read_by(&host, id)).sum();
+    assert!(rerouted > 0, "{}", rig.trace);
     rig.set_reading_paused(&host, false);
     rig.run_for_ms(300);
     for id in 1..=30 {
@@ -617,7 +642,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_is_used_and_fells_nobody() {
+fn a_connection_established_late_is_kept_and_used() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
@@ -627,23 +652,23 @@
     rig.fill_accept_queue(&first);
     rig.send_get(2, "video", &[]);
     rig.run_for_ms(500);
-    assert_ne!(rig.last_reader, first, "it did not wait for longer than the settings tell: {}", rig.trace);
+    assert_ne!(rig.last_reader, first, "the GET waited for longer than the connect timeout: {}", rig.trace);
     rig.answer(2, "200", "why=TCP_HIT", "the bytes");
     rig.empty_accept_queue(&first);
-    // The first try comes up as the system asks a second time, after 1 s.
+    // The first connection is established when the system repeats the SYN, after 1 s.
     rig.run_for_ms(650);
-    assert_eq!(rig.connection_count(&first), 1, "the first try was kept");
+    assert_eq!(rig.connection_count(&first), 1, "the first connection was not kept");
     rig.send_get(3, "video", &[]);
     rig.wait_for_lines(1);
     assert_eq!((rig.last_reader.clone(), rig.connection_count(&first)), (first, 1), "{}", rig.trace);
 }
 
 #[test]
-fn a_large_answer_may_take_as_long_as_its_link() {
-    let mut told = settings();
-    // 240 kB take 0.8 s, and this one comes in two pieces half a second apart.
-    told["domain"]["flow_kb_per_s"] = json!(310.0);
-    let mut rig = DispatcherRig::with_settings(told, ROOMY);
+fn a_large_answer_may_take_as_long_as_its_transfer_at_the_link_rate() {
+    let mut settings = settings();
+    // At this rate 240 kB take 0.8 s. The answer arrives in two pieces half a second apart.
+    settings["domain"]["flow_kb_per_s"] = json!(310.0);
+    let mut rig = DispatcherRig::with_settings(settings, AMPLE_LIMITS);
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     let half = "x".repeat(120_000);
@@ -656,35 +681,35 @@
     assert!(rig.trace.contains("client 0 reads 1: Status: 200 OK"), "{}", rig.trace);
 }
 
-// List watches.
+// Polls of the change log.
 
 #[test]
-fn a_change_log_whose_connections_come_up_late_is_still_followed() {
+fn a_change_log_whose_connections_are_established_late_is_still_followed() {
     let mut rig = DispatcherRig::new();
     rig.wait_for_poll();
     rig.fill_changelog_accept_queue();
     let start = Instant::now();
     rig.run_for_ms(950);
     rig.empty_accept_queue("change log");
-    // Tried at once: the system asks a second time after 1 s, later than a silent watch is given up.
+    // The dispatcher connects at once; the system repeats the SYN after 1 s, later than a silent poll is given up.
     rig.wait_for_poll();
     let took = start.elapsed();
     assert!(took < ms(1250), "{took:?}");
 }
 
 #[test]
-fn a_change_log_that_answers_slowly_is_not_taken_for_a_silent_one() {
+fn a_change_log_that_answers_slowly_is_not_treated_as_silent() {
     let mut rig = DispatcherRig::new();
     let body = json!({"seq": 1, "results": []}).to_string() + &" ".repeat(2000);
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-    let whole = format!("{head}{body}");
-    let (mut rounds, mut answered) = (0, false);
-    while !answered && rounds < 4 {
-        rounds += 1;
+    let answer = format!("{head}{body}");
+    let (mut polls, mut answered) = (0, false);
+    while !answered && polls < 4 {
+        polls += 1;
         rig.wait_for_poll();
         let before = rig.changelog_connection_count();
-        // Ten pieces over 0.9 s; one that is given up meanwhile is begun anew.
-        for piece in whole.as_bytes().chunks(whole.len() / 9) {
+        // Ten pieces over 0.9 s. A poll that is given up meanwhile is answered again from the start.
+        for piece in answer.as_bytes().chunks(answer.len() / 9) {
             rig.write_poll_answer_piece(piece);
             rig.run_for_ms(100);
             if rig.changelog_connection_count() > before {
@@ -693,5 +718,5 @@
         }
         answered = rig.changelog_connection_count() == before;
     }
-    assert!(answered && rounds > 1, "after {rounds} tries");
+    assert!(answered && polls > 1, "answered: {answered}, polls: {polls}");
 }
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -1,5 +1,5 @@
-//! A new configuration (SIGHUP), list watches that fall silent, whole lists, and the end of a dispatcher: what is told right
-//! after one of them holds, and nobody who asks meanwhile is left without an answer.
+//! Reloads of the configuration (SIGHUP), change log polls that fall silent, full host lists, and shutdown: what the change log
+//! reports right after one of them is applied, and each request that arrives meanwhile is answered.
 
 mod common;
 
@@ -8,41 +8,42 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// What a test does to its rig.
-type Act<'a> = &'a dyn Fn(&mut DispatcherRig);
+/// An action of a test on its rig.
+type Action<'a> = &'a dyn Fn(&mut DispatcherRig);
 
-const ROOMY: Room = Room { descriptors: 1024, memory: 192 << 20 };
-/// A poll waits for 0.5 s, a silent one is left 0.25 s later, and the next begins 0.05 s after that; the rest is a busy machine's.
-const SILENCE_FOUND_WITHIN: Duration = Duration::from_millis(1000);
+const AMPLE_LIMITS: Room = Room { descriptors: 1024, memory: 192 << 20 };
+/// A poll lasts 0.5 s, a silent one is given up 0.25 s later, and the next starts 0.05 s after that. The remaining 0.2 s are slack
+/// for a busy machine.
+const MAX_SILENCE_DETECTION: Duration = Duration::from_millis(1000);
 
-/// The settings, where each client waits so long at most.
-fn with_deadline(deadline_ms: f64) -> Value {
-    let mut told = settings();
-    for class in told["classes"].as_array_mut().unwrap() {
+/// The test settings, with this viewer timeout for all delivery services.
+fn settings_with_deadline(deadline_ms: f64) -> Value {
+    let mut settings = settings();
+    for class in settings["classes"].as_array_mut().unwrap() {
         class["deadline_ms"] = json!(deadline_ms);
     }
-    told
+    settings
 }
 
-/// An answer of the change log: one event.
-fn event(seq: u64, fleet: &Value) -> String {
+/// An answer of the change log with one event.
+fn one_event(seq: u64, fleet: &Value) -> String {
     json!({"seq": seq, "results": [{"seq": seq, "fleet": fleet}]}).to_string()
 }
 
-/// An answer of the change log: these hosts drain.
-fn drains(seq: u64, hosts: &[&str]) -> String {
+/// An answer of the change log with one event that drains these hosts.
+fn drain_event(seq: u64, hosts: &[&str]) -> String {
     let lines: Vec<Value> = hosts.iter().map(|host| json!({"name": host, "status": "leaving"})).collect();
-    event(seq, &json!({"snapshot": false, "endpoints": lines}))
+    one_event(seq, &json!({"snapshot": false, "endpoints": lines}))
 }
 
-/// An answer of the change log: the whole list, made of these hosts.
-fn whole_list(rig: &mut DispatcherRig, seq: u64, hosts: &[&str]) -> String {
+/// An answer of the change log with a full host list of these hosts.
+fn full_host_list(rig: &mut DispatcherRig, seq: u64, hosts: &[&str]) -> String {
     let lines: Vec<Value> = hosts.iter().map(|host| rig.host_line(host, "active", 0)).collect();
-    event(seq, &json!({"snapshot": true, "endpoints": lines}))
+    one_event(seq, &json!({"snapshot": true, "endpoints": lines}))
 }
 
-/// GETs of objects of their own, numbered from `first`, each answered by whoever reads it.
-fn get_many(rig: &mut DispatcherRig, first: u16, count: u16) {
+/// Sends GETs for one distinct object each, numbered from `first`; the host that reads a GET answers it.
+fn send_answered_gets(rig: &mut DispatcherRig, first: u16, count: u16) {
     for number in first..first + count {
         rig.send_get(number, "video", &[("HTTP_RESOURCE_KEY", &format!("{number:016x}"))]);
         rig.wait_for_lines(1);
@@ -51,65 +52,75 @@
     }
 }
 
-/// How many answers the clients have read to a request of this number.
-fn answers_to(rig: &DispatcherRig, number: u16) -> usize {
-    let mark = format!(" reads {number}: ");
-    rig.trace.lines().filter(|line| line.starts_with("client ") && line.contains(&mark)).count()
+/// Counts the answers that clients have read to requests with this number.
+fn count_answers(rig: &DispatcherRig, number: u16) -> usize {
+    let marker = format!(" reads {number}: ");
+    rig.trace.lines().filter(|line| line.starts_with("client ") && line.contains(&marker)).count()
 }
 
-/// Turns until the dispatcher is done, for so long at most; how long it took.
-fn ended(rig: &mut DispatcherRig, within: u64) -> Duration {
+/// Runs turns until the dispatcher is done, for at most `limit_ms`, and returns how long it took.
+fn wait_until_done(rig: &mut DispatcherRig, limit_ms: u64) -> Duration {
     let start = Instant::now();
     while !rig.dispatcher.is_done() {
         rig.turn();
-        assert!(start.elapsed() < ms(within), "not done after {within} ms:\n{}", rig.trace);
+        assert!(start.elapsed() < ms(limit_ms), "not done after {limit_ms} ms:\n{}", rig.trace);
     }
     start.elapsed()
 }
 
 // Reloads.
 
-/// The drains wait in the old change log's connection, unread, as the reload comes; the new change log tells them at once.
+/// The drains are still unread in the connection to the old change log when the reload arrives. The new change log reports them
+/// with its first answer.
 #[test]
-fn drains_told_right_after_a_reload_hold() {
+fn drains_reported_right_after_a_reload_are_applied() {
     let mut rig = DispatcherRig::new();
-    get_many(&mut rig, 1000, 40);
-    rig.answer_poll(&drains(2, &["cache-0", "cache-1"]));
+    send_answered_gets(&mut rig, 1000, 40);
+    rig.answer_poll(&drain_event(2, &["cache-0", "cache-1"]));
     rig.move_changelog();
-    let moved = Instant::now();
+    let moved_at = Instant::now();
     rig.trace_poll();
-    assert!(moved.elapsed() < ms(200), "the new change log is asked at once: {:?}", moved.elapsed());
+    assert!(
+        moved_at.elapsed() < ms(200),
+        "the new change log was not polled at once: {:?}",
+        moved_at.elapsed()
+    );
     assert!(rig.trace.ends_with("GET /changes?since=1&timeout=500 HTTP/1.1\n"), "{}", rig.trace);
-    rig.answer_poll(&drains(2, &["cache-0", "cache-1"]));
+    rig.answer_poll(&drain_event(2, &["cache-0", "cache-1"]));
     rig.wait_for_poll();
-    let told = rig.trace.len();
-    get_many(&mut rig, 1, 40);
+    let trace_length = rig.trace.len();
+    send_answered_gets(&mut rig, 1, 40);
     for host in ["cache-0", "cache-1"] {
-        assert!(!rig.has_read_since(host, told), "{host} drains: {}", &rig.trace[told..]);
+        assert!(
+            !rig.has_read_since(host, trace_length),
+            "{host} was sent a request although it drains: {}",
+            &rig.trace[trace_length..]
+        );
     }
 }
 
-/// What is out at a host that drains behind a reload is answered by it; its failure is not tried there again.
+/// A GET in flight at a host that drains after a reload may still be answered by that host. If it fails there, it is not sent to
+/// that host again.
 #[test]
-fn what_is_out_at_a_host_that_drains_behind_a_reload_ends_there_or_goes_elsewhere() {
+fn gets_in_flight_at_a_host_that_drains_after_a_reload_end_there_or_are_sent_elsewhere() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "video", &[]);
     rig.send_get(2, "video", &[]);
     rig.wait_for_lines(2);
     let host = rig.last_reader.clone();
     rig.move_changelog();
-    rig.answer_poll(&drains(2, &[&host]));
+    rig.answer_poll(&drain_event(2, &[&host]));
     rig.wait_for_poll();
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
     rig.answer(2, "500", "why=PEER_DEAD", "");
     rig.wait_for_lines(1);
     assert_eq!((rig.forwards_read_by(&host, 2), rig.forwards_read(2)), (1, 2), "{}", rig.trace);
-    assert_eq!(answers_to(&rig, 1), 1, "{}", rig.trace);
+    assert_eq!(count_answers(&rig, 1), 1, "{}", rig.trace);
 }
 
 #[test]
-fn a_change_log_that_a_reload_names_before_it_is_up_is_followed_as_it_comes_up() {
+fn a_change_log_named_by_a_reload_before_it_is_reachable_is_followed_once_it_is() {
     for silent in [false, true] {
         let mut rig = DispatcherRig::new();
         rig.wait_for_poll();
@@ -127,14 +138,14 @@
         } else {
             rig.set_changelog_refusing(false);
         }
-        let up = Instant::now();
-        rig.answer_poll(&drains(2, &["cache-0", "cache-1"]));
-        assert!(up.elapsed() < ms(500), "{:?}", up.elapsed());
+        let reachable_at = Instant::now();
+        rig.answer_poll(&drain_event(2, &["cache-0", "cache-1"]));
+        assert!(reachable_at.elapsed() < ms(500), "{:?}", reachable_at.elapsed());
         rig.wait_for_poll();
-        let told = rig.trace.len();
-        get_many(&mut rig, 10, 20);
+        let trace_length = rig.trace.len();
+        send_answered_gets(&mut rig, 10, 20);
         assert!(
-            !rig.has_read_since("cache-0", told) && !rig.has_read_since("cache-1", told),
+            !rig.has_read_since("cache-0", trace_length) && !rig.has_read_since("cache-1", trace_length),
             "{}",
             rig.trace
         );
@@ -142,106 +153,108 @@
 }
 
 #[test]
-fn of_reloads_behind_each_other_the_last_one_counts() {
+fn of_several_reloads_in_a_row_the_last_one_takes_effect() {
     let mut rig = DispatcherRig::new();
     rig.wait_for_poll();
     for _ in 0..3 {
         rig.move_changelog();
     }
-    rig.answer_poll(&drains(2, &["cache-2"]));
+    rig.answer_poll(&drain_event(2, &["cache-2"]));
     rig.wait_for_poll();
-    // One that can't be read changes nothing.
+    // A reload of an invalid configuration changes nothing.
     rig.dispatcher.follow(None);
-    let told = rig.trace.len();
-    get_many(&mut rig, 1, 20);
-    assert!(!rig.has_read_since("cache-2", told), "{}", rig.trace);
+    let trace_length = rig.trace.len();
+    send_answered_gets(&mut rig, 1, 20);
+    assert!(!rig.has_read_since("cache-2", trace_length), "{}", rig.trace);
     rig.trace_poll();
     assert!(rig.trace.ends_with("GET /changes?since=2&timeout=500 HTTP/1.1\n"), "{}", rig.trace);
 }
 
-// Watches that fall silent.
+// Polls that fall silent.
 
-/// Polls are answered for 13 s, then the watch falls silent, also as the end is asked for: found in time by a new connection,
-/// and what that tells holds for GETs that are taken and tried again from then on.
-fn a_watch_falls_silent_late(ends: bool) {
+/// Polls are answered for 13 s, then the change log falls silent, with `stops` at the same time as shutdown is requested. The
+/// dispatcher must notice in time and poll on a new connection, and apply what that reports to GETs accepted or retried from then
+/// on.
+fn check_late_silence(stops: bool) {
     let mut rig = DispatcherRig::new();
     let start = Instant::now();
     while start.elapsed() < ms(13_000) {
         rig.answer_poll(&json!({"seq": 1, "results": []}).to_string());
         rig.run_for_ms(450);
     }
-    // One that asked nothing was closed long ago.
+    // A client that sent nothing was closed long ago.
     let client = rig.connect_client();
     rig.write(client, &object_request(1, "video", &[], b""));
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
     let others: Vec<&str> = HOSTS[..3].iter().copied().filter(|&host| host != first).collect();
     rig.wait_for_poll();
-    let silent = Instant::now();
-    if ends {
+    let silent_since = Instant::now();
+    if stops {
         rig.dispatcher.stop();
     }
     rig.wait_for_poll_timeout();
-    rig.answer_poll(&drains(2, &others[..1]));
+    rig.answer_poll(&drain_event(2, &others[..1]));
     rig.wait_for_poll();
-    assert!(silent.elapsed() < SILENCE_FOUND_WITHIN, "{:?}", silent.elapsed());
-    let told = rig.trace.len();
+    assert!(silent_since.elapsed() < MAX_SILENCE_DETECTION, "{:?}", silent_since.elapsed());
+    let trace_length = rig.trace.len();
     rig.close_host(&first, true);
     rig.wait_for_lines(1);
-    assert!(!rig.has_read_since(others[0], told), "{}", rig.trace);
+    assert!(!rig.has_read_since(others[0], trace_length), "{}", rig.trace);
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
     assert!(rig.trace.contains("| the bytes"), "{}", rig.trace);
-    if ends {
-        ended(&mut rig, 3700);
+    if stops {
+        wait_until_done(&mut rig, 3700);
     }
 }
 
 #[test]
-fn a_watch_that_falls_silent_late_is_left_in_time() {
-    a_watch_falls_silent_late(false);
+fn a_poll_that_falls_silent_late_is_given_up_in_time() {
+    check_late_silence(false);
 }
 
 #[test]
-fn a_watch_that_falls_silent_late_and_with_the_end_is_left_in_time() {
-    a_watch_falls_silent_late(true);
+fn a_poll_that_falls_silent_late_at_shutdown_is_given_up_in_time() {
+    check_late_silence(true);
 }
 
-// Whole lists.
+// Full host lists.
 
 #[test]
-fn a_whole_list_that_leaves_a_host_out_lets_it_end_what_it_has_and_sends_it_nothing_more() {
+fn a_host_missing_from_a_full_list_answers_what_is_in_flight_and_gets_nothing_more() {
     let mut rig = DispatcherRig::new();
-    get_many(&mut rig, 1000, 20);
+    send_answered_gets(&mut rig, 1000, 20);
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     let host = rig.last_reader.clone();
-    let kept: Vec<&str> = HOSTS.iter().copied().filter(|&name| name != host && name != "parent-3").collect();
-    let list = whole_list(&mut rig, 2, &kept);
+    let listed: Vec<&str> =
+        HOSTS.iter().copied().filter(|&name| name != host && name != "parent-3").collect();
+    let list = full_host_list(&mut rig, 2, &listed);
     rig.answer_poll(&list);
     rig.wait_for_poll();
-    let told = rig.trace.len();
+    let trace_length = rig.trace.len();
     rig.last_reader.clone_from(&host);
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
     assert!(rig.trace.ends_with("| the bytes\n"), "{}", rig.trace);
-    get_many(&mut rig, 2, 40);
-    let since = &rig.trace[told..];
-    assert!(!rig.has_read_since(&host, told) && !since.contains("up=parent-3"), "{since}");
+    send_answered_gets(&mut rig, 2, 40);
+    let new_lines = &rig.trace[trace_length..];
+    assert!(!rig.has_read_since(&host, trace_length) && !new_lines.contains("up=parent-3"), "{new_lines}");
     rig.run_for_ms(400);
-    let (had, ends) = (rig.connection_count(&host), rig.closed_and_reset_counts(&host));
-    assert_eq!(ends, (had, 0), "its connections are closed, and not reset");
-    // Told again, it takes a share again.
-    let list = whole_list(&mut rig, 3, &HOSTS);
+    let (connections, closed_and_reset) = (rig.connection_count(&host), rig.closed_and_reset_counts(&host));
+    assert_eq!(closed_and_reset, (connections, 0), "its connections were not all closed without a reset");
+    // Once listed again, the host receives a share of the GETs again.
+    let list = full_host_list(&mut rig, 3, &HOSTS);
     rig.answer_poll(&list);
     rig.wait_for_poll();
-    let told = rig.trace.len();
-    get_many(&mut rig, 200, 60);
-    assert!(rig.has_read_since(&host, told), "{}", &rig.trace[told..]);
+    let trace_length = rig.trace.len();
+    send_answered_gets(&mut rig, 200, 60);
+    assert!(rig.has_read_since(&host, trace_length), "{}", &rig.trace[trace_length..]);
 }
 
 #[test]
-fn what_a_host_that_a_whole_list_leaves_out_has_not_begun_to_read_goes_elsewhere() {
+fn forwards_not_yet_sent_to_a_host_missing_from_a_full_list_go_elsewhere() {
     let mut rig = DispatcherRig::new();
     rig.shrink_receive_buffers();
     rig.send_get(1, "video", &[]);
@@ -252,8 +265,8 @@
         rig.write(0, &object_request(number, "video", &[], &[b'x'; 40_000]));
         rig.run_for_ms(5);
     }
-    let kept: Vec<&str> = HOSTS.iter().copied().filter(|&name| name != host).collect();
-    let list = whole_list(&mut rig, 2, &kept);
+    let listed: Vec<&str> = HOSTS.iter().copied().filter(|&name| name != host).collect();
+    let list = full_host_list(&mut rig, 2, &listed);
     rig.answer_poll(&list);
     rig.run_for_ms(150);
     let elsewhere = |rig: &DispatcherRig, id| rig.forwards_read(id) - rig.forwards_read_by(&host, id);
@@ -265,33 +278,37 @@
     }
 }
 
-/// A whole list, changes to it and a purge in one answer of the change log count in their order.
+/// A full list, a change to it and a purge in one answer of the change log are applied in their order.
 #[test]
-fn changes_behind_a_whole_list_in_the_same_answer_count() {
+fn changes_after_a_full_list_in_the_same_answer_are_applied() {
     let mut rig = DispatcherRig::new();
-    let whole: Vec<Value> = HOSTS[1..].iter().map(|host| rig.host_line(host, "active", 0)).collect();
-    let told = json!({"seq": 4, "results": [
-        {"seq": 2, "fleet": {"snapshot": true, "endpoints": whole}},
+    let listed: Vec<Value> = HOSTS[1..].iter().map(|host| rig.host_line(host, "active", 0)).collect();
+    let answer = json!({"seq": 4, "results": [
+        {"seq": 2, "fleet": {"snapshot": true, "endpoints": listed}},
         {"seq": 3, "fleet": {"snapshot": false, "endpoints": [{"name": "cache-1", "status": "leaving"}]}},
         {"seq": 4, "invalidate": {"bucket": 17, "time": 9e15}}]});
-    rig.answer_poll(&told.to_string());
+    rig.answer_poll(&answer.to_string());
     rig.trace_poll();
     assert!(rig.trace.ends_with("GET /changes?since=4&timeout=500 HTTP/1.1\n"), "{}", rig.trace);
     rig.send_get(1, "photo", &[]);
     rig.wait_for_lines(1);
-    assert!(rig.trace.contains("cap=small"), "the purge holds: {}", rig.trace);
+    assert!(rig.trace.contains("cap=small"), "the purge was not applied: {}", rig.trace);
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
-    let told = rig.trace.len();
-    get_many(&mut rig, 10, 30);
-    assert!(!rig.has_read_since("cache-0", told) && !rig.has_read_since("cache-1", told), "{}", rig.trace);
+    let trace_length = rig.trace.len();
+    send_answered_gets(&mut rig, 10, 30);
+    assert!(
+        !rig.has_read_since("cache-0", trace_length) && !rig.has_read_since("cache-1", trace_length),
+        "{}",
+        rig.trace
+    );
 }
 
-/// While no list names a cache, each GET is answered; the next list brings them back.
+/// While the list has no cache, each GET is answered without one; with the next list the caches are used again.
 #[test]
-fn a_whole_list_without_any_cache_leaves_nobody_unanswered() {
-    let mut rig = DispatcherRig::with_settings(with_deadline(500.0), ROOMY);
-    let list = whole_list(&mut rig, 2, &["parent-3", "origin-5"]);
+fn requests_are_answered_while_the_full_list_has_no_cache() {
+    let mut rig = DispatcherRig::with_settings(settings_with_deadline(500.0), AMPLE_LIMITS);
+    let list = full_host_list(&mut rig, 2, &["parent-3", "origin-5"]);
     rig.answer_poll(&list);
     rig.wait_for_poll();
     for (number, ds) in [(1, "video"), (2, "photo"), (3, "confirm"), (4, "order")] {
@@ -299,42 +316,42 @@
     }
     rig.run_for_ms(550);
     for number in 1..=4 {
-        assert_eq!(answers_to(&rig, number), 1, "{number}: {}", rig.trace);
+        assert_eq!(count_answers(&rig, number), 1, "{number}: {}", rig.trace);
         assert!((0..3).all(|cache| rig.forwards_read_by(HOSTS[cache], number) == 0), "{}", rig.trace);
     }
-    let list = whole_list(&mut rig, 3, &HOSTS);
+    let list = full_host_list(&mut rig, 3, &HOSTS);
     rig.answer_poll(&list);
     rig.wait_for_poll();
-    get_many(&mut rig, 10, 5);
+    send_answered_gets(&mut rig, 10, 5);
 }
 
-// Requests that come in pieces.
+// Requests that arrive in pieces.
 
-/// Requests cut at many places, of which the rest comes after a reload, or within the time that a restart allows.
+/// Requests are cut at many places; the rest arrives after a reload, or within the time that a shutdown allows.
 #[test]
-fn a_request_in_pieces_around_a_reload_or_the_end_is_answered() {
-    for ends in [false, true] {
+fn a_request_in_pieces_around_a_reload_or_shutdown_is_answered() {
+    for stops in [false, true] {
         let mut rig = DispatcherRig::new();
-        let long = object_request(1, "confirm", &[], b"signed for").len();
-        let cuts: Vec<usize> = (1..long).step_by(long / 14).chain([long - 1]).collect();
+        let length = object_request(1, "confirm", &[], b"signed for").len();
+        let cuts: Vec<usize> = (1..length).step_by(length / 14).chain([length - 1]).collect();
         let requests: Vec<(usize, Vec<u8>, usize)> = cuts
             .iter()
             .enumerate()
-            .map(|(at, &cut)| {
-                (rig.connect_client(), object_request(at as u16 + 1, "confirm", &[], b"signed for"), cut)
+            .map(|(index, &cut)| {
+                (rig.connect_client(), object_request(index as u16 + 1, "confirm", &[], b"signed for"), cut)
             })
             .collect();
-        for (client, whole, cut) in &requests {
-            rig.write(*client, &whole[..*cut]);
+        for (client, request, cut) in &requests {
+            rig.write(*client, &request[..*cut]);
         }
         rig.run_for_ms(100);
         rig.move_changelog();
-        if ends {
+        if stops {
             rig.dispatcher.stop();
         }
         rig.run_for_ms(400);
-        for (client, whole, cut) in &requests {
-            rig.write(*client, &whole[*cut..]);
+        for (client, request, cut) in &requests {
+            rig.write(*client, &request[*cut..]);
         }
         rig.wait_for_lines(requests.len());
         for number in 1..=requests.len() as u16 {
@@ -343,20 +360,20 @@
         }
         rig.wait_for_lines(requests.len());
         assert_eq!(rig.trace.matches("| done").count(), requests.len(), "{}", rig.trace);
-        if ends {
-            ended(&mut rig, 2000);
+        if stops {
+            wait_until_done(&mut rig, 2000);
         }
     }
 }
 
-/// A client that writes slowly, a few bytes at a time, while the change log moves twice and the end is asked for.
+/// A client writes a request slowly, a few bytes at a time, while the change log moves twice and shutdown is requested.
 #[test]
-fn a_request_that_trickles_in_while_all_moves_is_answered() {
+fn a_request_that_arrives_slowly_during_reloads_and_shutdown_is_answered() {
     let mut rig = DispatcherRig::new();
-    let whole = object_request(1, "video", &[], b"");
-    for (at, piece) in whole.chunks(whole.len() / 12).enumerate() {
+    let request = object_request(1, "video", &[], b"");
+    for (index, piece) in request.chunks(request.len() / 12).enumerate() {
         rig.write(0, piece);
-        match at {
+        match index {
             3 | 6 => rig.move_changelog(),
             8 => rig.dispatcher.stop(),
             _ => {}
@@ -368,127 +385,142 @@
     rig.answer(1, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
     assert!(rig.trace.contains("| the bytes"), "{}", rig.trace);
-    ended(&mut rig, 2000);
+    wait_until_done(&mut rig, 2000);
 }
 
-// The end of a dispatcher that had nothing to do.
+// Shutdown of an idle dispatcher.
 
 #[test]
-fn a_dispatcher_that_nobody_asked_anything_ends_in_time() {
-    let lone = |rig: &mut DispatcherRig| rig.close_client(0);
+fn an_idle_dispatcher_shuts_down_in_time() {
+    let no_client = |rig: &mut DispatcherRig| rig.close_client(0);
     let silent = |_: &mut DispatcherRig| {};
-    let resting = |rig: &mut DispatcherRig| {
+    let kept_open = |rig: &mut DispatcherRig| {
         rig.write(0, &request(1, &[("SCRIPT_NAME", "/health")], b""));
         rig.wait_for_lines(1);
         rig.ignore_peer_close(0);
     };
-    let clients: [(&str, Act<'_>); 3] = [("none", &lone), ("silent", &silent), ("resting", &resting)];
-    // The least time to the kill is the longest deadline and 0.7 s.
-    for deadline in [100, 3000] {
-        for (who, prepare) in clients {
-            for is_up in [true, false] {
-                let mut rig = DispatcherRig::with_settings(with_deadline(deadline as f64), ROOMY);
+    let clients: [(&str, Action<'_>); 3] =
+        [("none", &no_client), ("silent", &silent), ("idle, kept open", &kept_open)];
+    // The shortest time to the kill is the longest deadline plus 0.7 s.
+    for deadline_ms in [100, 3000] {
+        for (clients, prepare) in clients {
+            for is_changelog_reachable in [true, false] {
+                let mut rig =
+                    DispatcherRig::with_settings(settings_with_deadline(deadline_ms as f64), AMPLE_LIMITS);
                 prepare(&mut rig);
-                if !is_up {
+                if !is_changelog_reachable {
                     rig.set_changelog_refusing(true);
                 }
                 rig.run_for_ms(300);
                 rig.dispatcher.stop();
-                let took = ended(&mut rig, deadline + 700);
-                assert!(took < ms(1400), "{who}, {deadline} ms: {took:?}");
+                let took = wait_until_done(&mut rig, deadline_ms + 700);
+                assert!(
+                    took < ms(1400),
+                    "clients: {clients}, deadline: {deadline_ms} ms, shutdown took {took:?}"
+                );
                 assert_eq!(rig.dispatcher.taken(), 0);
             }
         }
     }
 }
 
-// Requests whose time is up.
+// Requests that expire.
 
-/// Caches that read nothing, that read and say nothing, whose connections never come up, that all leave: whatever happens to a
-/// dispatcher meanwhile, each request is answered once, and before its client gives up.
+/// The hosts read nothing, read without answering, accept no connections or refuse them, and meanwhile nothing happens, the
+/// configuration is reloaded, shutdown is requested or all caches and parents leave the list. In each combination every request must be
+/// answered once, and before its client times out.
 #[test]
-fn nobody_is_left_without_an_answer_when_the_time_is_up() {
-    let hang = |rig: &mut DispatcherRig| HOSTS.iter().for_each(|host| rig.set_reading_paused(host, true));
+fn every_expiring_request_is_answered_once_and_in_time() {
+    let paused = |rig: &mut DispatcherRig| HOSTS.iter().for_each(|host| rig.set_reading_paused(host, true));
     let silent = |_: &mut DispatcherRig| {};
-    let clogged = |rig: &mut DispatcherRig| HOSTS.iter().for_each(|host| rig.fill_accept_queue(host));
-    let dead = |rig: &mut DispatcherRig| HOSTS.iter().for_each(|host| rig.close_host(host, true));
-    let troubles: [(&str, Act<'_>); 4] =
-        [("hang", &hang), ("silent", &silent), ("clogged", &clogged), ("dead", &dead)];
+    let full_queue = |rig: &mut DispatcherRig| HOSTS.iter().for_each(|host| rig.fill_accept_queue(host));
+    let refusing = |rig: &mut DispatcherRig| HOSTS.iter().for_each(|host| rig.close_host(host, true));
+    let host_failures: [(&str, Action<'_>); 4] = [
+        ("not reading", &paused),
+        ("silent", &silent),
+        ("accept queue full", &full_queue),
+        ("refusing", &refusing),
+    ];
     let reload = |rig: &mut DispatcherRig| rig.move_changelog();
-    let end = |rig: &mut DispatcherRig| rig.dispatcher.stop();
-    let leave = |rig: &mut DispatcherRig| {
-        let list = whole_list(rig, 2, &["origin-5"]);
+    let shutdown = |rig: &mut DispatcherRig| rig.dispatcher.stop();
+    let remove_all_but_origin = |rig: &mut DispatcherRig| {
+        let list = full_host_list(rig, 2, &["origin-5"]);
         rig.answer_poll(&list);
     };
-    let events: [(&str, Act<'_>); 4] =
-        [("none", &|_| {}), ("reload", &reload), ("end", &end), ("all leave", &leave)];
-    for (trouble, begin) in troubles {
-        for (what, happen) in events {
-            let mut rig = DispatcherRig::with_settings(with_deadline(1000.0), ROOMY);
-            get_many(&mut rig, 1000, 10);
-            begin(&mut rig);
-            let (mut number, mut wanted) = (0, Vec::new());
-            for budget in [60, 250, 1000] {
+    let events: [(&str, Action<'_>); 4] = [
+        ("none", &|_| {}),
+        ("reload", &reload),
+        ("shutdown", &shutdown),
+        ("all but the origin removed", &remove_all_but_origin),
+    ];
+    for (failure, fail_hosts) in host_failures {
+        for (event, trigger) in events {
+            let mut rig = DispatcherRig::with_settings(settings_with_deadline(1000.0), AMPLE_LIMITS);
+            send_answered_gets(&mut rig, 1000, 10);
+            fail_hosts(&mut rig);
+            let (mut number, mut unanswered) = (0, Vec::new());
+            for budget_ms in [60, 250, 1000] {
                 for ds in ["video", "photo", "confirm", "order"] {
                     number += 1;
-                    rig.send_get(number, ds, &[("HTTP_BUDGET_MS", &budget.to_string())]);
-                    wanted.push((number, Instant::now() + ms(budget)));
+                    rig.send_get(number, ds, &[("HTTP_BUDGET_MS", &budget_ms.to_string())]);
+                    unanswered.push((number, Instant::now() + ms(budget_ms)));
                 }
             }
             rig.run_for_ms(30);
-            happen(&mut rig);
-            while !wanted.is_empty() {
+            trigger(&mut rig);
+            while !unanswered.is_empty() {
                 rig.turn();
-                wanted.retain(|&(number, by)| {
-                    let answered = answers_to(&rig, number) > 0;
+                unanswered.retain(|&(number, deadline)| {
+                    let answered = count_answers(&rig, number) > 0;
                     assert!(
-                        answered || Instant::now() < by,
-                        "{trouble}, {what}: {number} was left: {}",
+                        answered || Instant::now() < deadline,
+                        "hosts: {failure}, event: {event}: request {number} was not answered in time: {}",
                         rig.trace
                     );
                     !answered
                 });
             }
             rig.run_for_ms(30);
-            assert!((1..=number).all(|number| answers_to(&rig, number) == 1), "{}", rig.trace);
+            assert!((1..=number).all(|number| count_answers(&rig, number) == 1), "{}", rig.trace);
         }
     }
 }
 
-// Resets and clients that leave.
+// Resets and clients that disconnect.
 
-/// A host resets its connections long after it has read a GET and a write: the GET goes on, the write may have run.
+/// A host resets its connections long after it has read a GET and a write. The GET is sent again; the write may have run and is
+/// not.
 #[test]
-fn a_reset_long_after_a_request_has_begun_repeats_no_write() {
+fn a_reset_long_after_a_write_was_read_does_not_repeat_it() {
     let mut rig = DispatcherRig::new();
     rig.send_get(1, "confirm", &[]);
     rig.wait_for_lines(1);
-    let write_at = rig.last_reader.clone();
+    let write_host = rig.last_reader.clone();
     rig.send_get(2, "video", &[]);
     rig.wait_for_lines(1);
-    let get_at = rig.last_reader.clone();
+    let get_host = rig.last_reader.clone();
     rig.run_for_ms(900);
-    // It may have been withdrawn from a host that is slow, and be out at another now.
+    // The GET may have been withdrawn from a slow host and be in flight at another by now.
     let before = rig.forwards_read(2);
     for host in HOSTS {
         rig.reset_host(host);
     }
     rig.wait_for_lines(2);
-    assert_eq!(rig.forwards_read(1), 1, "{write_at}: {}", rig.trace);
+    assert_eq!(rig.forwards_read(1), 1, "{write_host}: {}", rig.trace);
     assert_eq!(rig.trace.matches("client 0 reads 1: Status: 502").count(), 1, "{}", rig.trace);
-    assert_eq!(rig.forwards_read(2), before + 1, "{get_at}: {}", rig.trace);
+    assert_eq!(rig.forwards_read(2), before + 1, "{get_host}: {}", rig.trace);
     rig.answer(2, "200", "why=TCP_HIT", "the bytes");
     rig.wait_for_lines(1);
-    assert_eq!(answers_to(&rig, 2), 1, "{}", rig.trace);
+    assert_eq!(count_answers(&rig, 2), 1, "{}", rig.trace);
     assert!(rig.trace.ends_with("| the bytes\n"), "{}", rig.trace);
 }
 
-/// Many clients close or reset in one turn, as the connections that their GETs are out on are reset too.
+/// Many clients close or reset their connections in the turn in which the host connections that carry their GETs are reset too.
 #[test]
-fn a_burst_of_clients_that_leave_has_nothing_tried_again() {
+fn gets_of_many_clients_that_disconnect_at_once_are_not_retried() {
     const BURST: u16 = 12;
     let mut rig = DispatcherRig::new();
-    get_many(&mut rig, 1000, 40);
+    send_answered_gets(&mut rig, 1000, 40);
     let leaving: Vec<usize> = (0..BURST).map(|_| rig.connect_client()).collect();
     for (number, &client) in (1..).zip(&leaving) {
         let key = format!("{number:016x}");
@@ -500,36 +532,37 @@
     for host in HOSTS {
         rig.reset_host(host);
     }
-    for (at, &client) in leaving.iter().enumerate() {
-        if at % 2 == 0 { rig.close_client(client) } else { rig.reset_client(client) }
+    for (index, &client) in leaving.iter().enumerate() {
+        if index % 2 == 0 { rig.close_client(client) } else { rig.reset_client(client) }
     }
     rig.run_for_ms(200);
     let after: Vec<usize> = (1..=BURST).map(|number| rig.forwards_read(number)).collect();
     assert_eq!(before, after, "{}", rig.trace);
     assert_eq!(rig.dispatcher.clients(), 1);
-    get_many(&mut rig, 100, 3);
+    send_answered_gets(&mut rig, 100, 3);
 }
 
-// Copies that clients hold.
+// Versions held by clients.
 
-/// A host that calls another copy current than the client's, or was told of none, has not named the client's copy.
+/// A host that answers 304 with the tag of another version, or without having been sent the client's tag, has not confirmed the
+/// client's version.
 #[test]
-fn a_copy_that_its_host_did_not_name_is_not_called_current() {
+fn a_held_version_that_the_host_did_not_confirm_is_not_reported_as_current() {
     let known = [("HTTP_X_KNOWN", "4be0c1927d55a6f3")];
-    for is_told in [false, true] {
+    for is_tag_forwarded in [false, true] {
         let mut rig = DispatcherRig::new();
-        if is_told {
+        if is_tag_forwarded {
             rig.answer_poll(&json!({"seq": 1, "results": []}).to_string());
             rig.run_for_ms(50);
         }
         rig.send_get(1, "photo", &known);
         rig.wait_for_lines(1);
-        assert_eq!(rig.trace.contains("inm="), is_told, "{}", rig.trace);
-        let tag = if is_told { "00000000000000ff" } else { "4be0c1927d55a6f3" };
+        assert_eq!(rig.trace.contains("inm="), is_tag_forwarded, "{}", rig.trace);
+        let tag = if is_tag_forwarded { "00000000000000ff" } else { "4be0c1927d55a6f3" };
         rig.answer(1, "304", &format!("why=TCP_HIT,rev={tag},since=1764576000123"), "");
         rig.wait_for_lines(1);
         assert!(!rig.trace.contains("X-Valid"), "{}", rig.trace);
-        assert_eq!(rig.forwards_read(1), 2, "it is asked for again: {}", rig.trace);
+        assert_eq!(rig.forwards_read(1), 2, "the GET was not forwarded again: {}", rig.trace);
         rig.answer(1, "200", "why=TCP_HIT", "the bytes");
         rig.wait_for_lines(1);
         assert!(rig.trace.ends_with("| the bytes\n"), "{}", rig.trace);
