--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -73,6 +73,7 @@
     now: Duration,
 }
 
+/// The name of a host in the trace.
 pub fn host_name(host: HostIndex) -> String {
     match host {
         ORIGIN => "origin".into(),
@@ -146,6 +147,7 @@
 }
 
 impl RouterRig {
+    /// Creates a router that has loaded the six hosts from a persisted list.
     pub fn new(settings: Value) -> Self {
         let router = Router::new(settings.as_object().unwrap(), 7).unwrap();
         let mut rig = Self { router, trace: Trace::default(), now: ms(100_000) };
@@ -159,8 +161,9 @@
         self.router.round(self.now, &mut self.trace, events);
     }
 
-    pub fn apply_host_list(&mut self, kind: ListUpdate, entries: &[HostEntry]) {
-        self.round(|round| round.on_host_list(kind, entries));
+    /// Delivers a host list or changes to it.
+    pub fn apply_host_list(&mut self, update: ListUpdate, entries: &[HostEntry]) {
+        self.round(|round| round.on_host_list(update, entries));
     }
 
     /// Starts a GET whose object takes 100 ms to send and returns the index that it got.
@@ -232,11 +235,12 @@
     last_read_at: Option<Instant>,
 }
 
+/// A client connection, with the bytes not yet parsed and the answers received in part, by request number.
 struct Client {
     stream: TcpStream,
     inbound: Vec<u8>,
     partial_answers: BTreeMap<u16, String>,
-    closed: bool,
+    is_closed: bool,
     /// The client keeps its side open after the dispatcher has closed the connection.
     ignores_peer_close: bool,
 }
@@ -258,6 +262,7 @@
     }
 }
 
+/// The limits of a rig whose test does not set its own.
 pub const DEFAULT_LIMITS: Room = Room { descriptors: 1024, memory: 192 << 20 };
 
 /// The event that gives a starting dispatcher the full host list.
@@ -266,14 +271,16 @@
     json!({"seq": 1, "results": [{"seq": 1, "fleet": {"index": 0, "snapshot": true, "endpoints": lines}}]})
 }
 
+/// The names of the stub hosts.
 pub const HOSTS: [&str; 6] = ["cache-0", "cache-1", "cache-2", "parent-3", "parent-4", "origin-5"];
 
 impl DispatcherRig {
+    /// Starts the dispatcher with the test settings and the full host list already known.
     pub fn new() -> Self {
         Self::with_settings(settings(), DEFAULT_LIMITS)
     }
 
-    /// Starts the dispatcher with the full host list already known.
+    /// Starts the dispatcher with these settings and limits, and the full host list already known.
     pub fn with_settings(settings: Value, limits: Room) -> Self {
         let hosts: Vec<_> = HOSTS.iter().map(|name| StubServer::new((*name).into())).collect();
         let known = full_host_list(&hosts);
@@ -345,7 +352,7 @@
             stream,
             inbound: Vec::new(),
             partial_answers: BTreeMap::new(),
-            closed: false,
+            is_closed: false,
             ignores_peer_close: false,
         });
         self.clients.len() - 1
@@ -356,6 +363,7 @@
         writeln!(self.trace, "# {text}").unwrap();
     }
 
+    /// Writes bytes from a client.
     pub fn write(&mut self, client: usize, bytes: &[u8]) {
         self.clients[client].stream.write_all(bytes).unwrap();
     }
@@ -383,7 +391,7 @@
         let connections = &mut self.host_mut(&host).connections;
         let index = connections
             .iter()
-            .rposition(|stream| stream.request_ids.contains(&id))
+            .rposition(|connection| connection.request_ids.contains(&id))
             .unwrap_or(connections.len() - 1);
         connections[index].outbound.extend_from_slice(format!("*4\r\n{encoded}").as_bytes());
     }
@@ -391,8 +399,9 @@
     /// Sends raw bytes from the host that was the last to read a command, on the connection that it last read from.
     pub fn answer_raw(&mut self, bytes: &[u8]) {
         let host = self.last_reader.clone();
-        let stream = self.host_mut(&host).connections.iter_mut().max_by_key(|stream| stream.last_read_at);
-        stream.unwrap().outbound.extend_from_slice(bytes);
+        let connection =
+            self.host_mut(&host).connections.iter_mut().max_by_key(|connection| connection.last_read_at);
+        connection.unwrap().outbound.extend_from_slice(bytes);
     }
 
     /// Closes all connections of a host, and its listener too if it is to refuse connections from then on.
@@ -468,7 +477,7 @@
         // The client keeps its index, with a connection that nobody serves.
         let nowhere = TcpListener::bind("127.0.0.1:0").unwrap();
         self.clients[client].stream = TcpStream::connect(nowhere.local_addr().unwrap()).unwrap();
-        self.clients[client].closed = true;
+        self.clients[client].is_closed = true;
     }
 
     /// From now on a client keeps its side open when the dispatcher closes the connection.
@@ -481,10 +490,10 @@
     pub fn flood(&self, client: usize, piece: Vec<u8>, max_bytes: usize) -> std::thread::JoinHandle<usize> {
         let mut stream = self.clients[client].stream.try_clone().unwrap();
         std::thread::spawn(move || {
-            let (mut written, mut at, start) = (0, 0, Instant::now());
+            let (mut written, mut offset, start) = (0, 0, Instant::now());
             while written < max_bytes && start.elapsed() < ms(3000) {
-                match stream.write(&piece[at..]) {
-                    Ok(count) => (written, at) = (written + count, (at + count) % piece.len()),
+                match stream.write(&piece[offset..]) {
+                    Ok(count) => (written, offset) = (written + count, (offset + count) % piece.len()),
                     Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => std::thread::yield_now(),
                     Err(_) => break,
                 }
@@ -515,14 +524,14 @@
     /// Sends another answer under an id, on the first connection on which the host read that id.
     pub fn answer_again_on_first_connection(&mut self, host: &str, id: u16, status: &str) {
         let id = format!("{id:016x}");
-        let stream = self
+        let connection = self
             .host_mut(host)
             .connections
             .iter_mut()
-            .find(|stream| stream.request_ids.contains(&id))
+            .find(|connection| connection.request_ids.contains(&id))
             .unwrap();
         let encoded = format!("*4\r\n$16\r\n{id}\r\n$3\r\n{status}\r\n$1\r\n-\r\n$0\r\n\r\n");
-        stream.outbound.extend_from_slice(encoded.as_bytes());
+        connection.outbound.extend_from_slice(encoded.as_bytes());
     }
 
     /// Sends a host's pending bytes in two pieces.
@@ -541,7 +550,8 @@
     pub fn may_have_unread_requests(&self, host: &str) -> bool {
         self.hosts.iter().any(|stub| {
             stub.name == host
-                && (stub.reading_paused || stub.resumed_at.is_some_and(|at| at.elapsed() < ms(50)))
+                && (stub.reading_paused
+                    || stub.resumed_at.is_some_and(|resumed_at| resumed_at.elapsed() < ms(50)))
         })
     }
 
@@ -563,15 +573,16 @@
         (closed, reset)
     }
 
+    /// Counts the connections that the change log has accepted.
     pub fn changelog_connection_count(&self) -> usize {
         self.changelog.connections.len()
     }
 
     /// Sends a piece of the change log's answer.
     pub fn write_poll_answer_piece(&mut self, piece: &[u8]) {
-        let stream = self.changelog.connections.last_mut().unwrap();
-        stream.inbound.clear();
-        stream.outbound.extend_from_slice(piece);
+        let connection = self.changelog.connections.last_mut().unwrap();
+        connection.inbound.clear();
+        connection.outbound.extend_from_slice(piece);
     }
 
     /// Whether a client that writes on its connection now meets a reset.
@@ -585,24 +596,24 @@
     }
 
     /// Returns a host's line of the host list.
-    pub fn host_line(&mut self, host: &str, status: &str, since: u64) -> Value {
-        host_line(self.host_mut(host), status, since)
+    pub fn host_line(&mut self, host: &str, status: &str, since_ms: u64) -> Value {
+        host_line(self.host_mut(host), status, since_ms)
     }
 
     /// Answers the pending poll from the change log.
     pub fn answer_poll(&mut self, body: &str) {
         self.wait_for_poll();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let stream = self.changelog.connections.last_mut().unwrap();
-        stream.inbound.clear();
-        stream.outbound.extend_from_slice(answer.as_bytes());
+        let connection = self.changelog.connections.last_mut().unwrap();
+        connection.inbound.clear();
+        connection.outbound.extend_from_slice(answer.as_bytes());
     }
 
     /// Sends a part of an answer to the pending poll and closes the connection.
     pub fn truncate_poll_answer(&mut self, part: &str) {
         self.wait_for_poll();
-        let mut stream = self.changelog.connections.pop().unwrap();
-        write!(stream.socket, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{part}").unwrap();
+        let mut connection = self.changelog.connections.pop().unwrap();
+        write!(connection.socket, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{part}").unwrap();
     }
 
     /// Runs turns until a poll is pending at the change log.
@@ -621,8 +632,8 @@
     /// Adds the request line of the pending poll to the trace.
     pub fn trace_poll(&mut self) {
         self.wait_for_poll();
-        let stream = self.changelog.connections.last().unwrap();
-        let text = String::from_utf8_lossy(&stream.inbound).into_owned();
+        let connection = self.changelog.connections.last().unwrap();
+        let text = String::from_utf8_lossy(&connection.inbound).into_owned();
         writeln!(self.trace, "change log reads {}", text.lines().next().unwrap_or_default()).unwrap();
     }
 
@@ -659,7 +670,7 @@
 
     /// Whether a poll is pending at the change log.
     pub fn is_poll_pending(&self) -> bool {
-        self.changelog.connections.last().is_some_and(|stream| stream.inbound.ends_with(b"\r\n\r\n"))
+        self.changelog.connections.last().is_some_and(|connection| connection.inbound.ends_with(b"\r\n\r\n"))
     }
 
     /// Whether a host has read any request since the trace had `trace_length` bytes.
@@ -668,9 +679,10 @@
         self.trace[trace_length..].lines().any(|line| line.starts_with(&prefix))
     }
 
+    /// Closes a client's connection in both directions.
     pub fn close_client(&mut self, client: usize) {
         self.clients[client].stream.shutdown(Shutdown::Both).unwrap();
-        self.clients[client].closed = true;
+        self.clients[client].is_closed = true;
     }
 
     /// Runs turns for this long.
@@ -685,30 +697,30 @@
     pub fn wait_for_lines(&mut self, lines: usize) {
         let wanted_count = self.trace.lines().count() + lines;
         let (start, mut reached_at) = (Instant::now(), None);
-        while start.elapsed() < ms(3000) && reached_at.is_none_or(|at: Instant| at.elapsed() < ms(20)) {
+        while start.elapsed() < ms(3000) && reached_at.is_none_or(|time: Instant| time.elapsed() < ms(20)) {
             self.turn();
             reached_at = reached_at.or((self.trace.lines().count() >= wanted_count).then(Instant::now));
         }
         assert!(reached_at.is_some(), "the trace has fewer lines than expected after 3 s:\n{}", self.trace);
     }
 
+    /// Runs a turn of the dispatcher, the stubs and the clients.
     pub fn turn(&mut self) {
         self.turn_with(|_| ());
     }
 
-    /// Runs a turn of the dispatcher, the stubs and the clients, with an action between the event loop's report of ready sockets
-    /// and the dispatcher's own turn.
+    /// Runs a turn with an action between the event loop's report of ready sockets and the dispatcher's own turn.
     pub fn turn_with(&mut self, action: impl FnOnce(&mut Self)) {
         self.event_loop.dispatch(ms(1).min(self.dispatcher.patience()), &mut self.dispatcher).unwrap();
         action(self);
         self.dispatcher.turn();
         let Self { hosts, changelog, clients, last_reader, clients_paused, trace, .. } = self;
         for host in hosts.iter_mut().chain([changelog]) {
-            while let Some(Ok((stream, _))) = host.listener.as_ref().map(TcpListener::accept) {
-                stream.set_nonblocking(true).unwrap();
+            while let Some(Ok((socket, _))) = host.listener.as_ref().map(TcpListener::accept) {
+                socket.set_nonblocking(true).unwrap();
                 let (inbound, outbound, request_ids) = (Vec::new(), Vec::new(), Vec::new());
                 host.connections.push(StubConnection {
-                    socket: stream,
+                    socket,
                     inbound,
                     outbound,
                     request_ids,
@@ -733,13 +745,13 @@
             }
         }
         for (index, client) in
-            clients.iter_mut().enumerate().filter(|(_, client)| !client.closed && !*clients_paused)
+            clients.iter_mut().enumerate().filter(|(_, client)| !client.is_closed && !*clients_paused)
         {
-            client.closed = client.stream.read_to_end(&mut client.inbound).is_ok();
+            client.is_closed = client.stream.read_to_end(&mut client.inbound).is_ok();
             while let Some(line) = client.next() {
                 writeln!(trace, "client {index} reads {line}").unwrap();
             }
-            if client.closed {
+            if client.is_closed {
                 if !client.ignores_peer_close {
                     let _ = client.stream.shutdown(Shutdown::Both);
                 }
@@ -761,14 +773,15 @@
     host.full_queue = Some((full, waiting.collect()));
 }
 
-fn host_line(host: &StubServer, status: &str, since: u64) -> Value {
+/// Returns the line of a host in the host list, with its zone and type taken from its name.
+fn host_line(host: &StubServer, status: &str, since_ms: u64) -> Value {
     let (kind, zone) = match host.name.split('-').next() {
         Some("cache") => ("standard", "edge"),
         Some("parent") => ("parent", "hub"),
         _ => ("origin", "hub"),
     };
     json!({"name": host.name, "address": host.address.to_string(), "zone": zone, "type": kind, "group": 0,
-        "status": status, "weight": 8.0, "since_ms": since})
+        "status": status, "weight": 8.0, "since_ms": since_ms})
 }
 
 /// Takes a complete RESP command off the bytes received. Requests to the change log stay there.
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -194,7 +194,7 @@
 }
 
 /// A client that has no request open and writes without end counts as idle. Before it is closed in favour of a new client it is
-/// read once more, and only up to the length that a request may have; without that bound the buffers would grow with the flood.
+/// read once more, and only up to the length that a request may have.
 #[test]
 fn a_flooding_client_closed_for_a_new_one_is_read_no_further_than_a_request() {
     for piece in [vec![0; 60_000], record(5, 9, &[b'x'; 60_000])] {
@@ -476,8 +476,8 @@
         "a request that is never completed is refused after a time, and its connection is closed after that",
     );
     rig.write(incomplete, &request(2, &[("SCRIPT_NAME", "/health")], b""));
-    let half = object_request(3, "photo", b"");
-    rig.write(incomplete, &half[..half.len() - 11]);
+    let never_completed = object_request(3, "photo", b"");
+    rig.write(incomplete, &never_completed[..never_completed.len() - 11]);
     rig.wait_for_lines(3);
     let count = |text: &str| rig.trace.matches(text).count();
     assert_eq!(count(&format!("client {complete} reads 1: Status: 200")), 1, "{}", rig.trace);
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -427,8 +427,8 @@
 // Requests that expire.
 
 /// The hosts read nothing, read without answering, accept no connections or refuse them, and meanwhile nothing happens, the
-/// configuration is reloaded, shutdown is requested or all caches and parents leave the list. In each combination every request must be
-/// answered once, and before its client times out.
+/// configuration is reloaded, shutdown is requested or all caches and parents leave the list. In each combination every request
+/// must be answered once, and before its client times out.
 #[test]
 fn every_expiring_request_is_answered_once_and_in_time() {
     let paused = |rig: &mut DispatcherRig| HOSTS.iter().for_each(|host| rig.set_reading_paused(host, true));
