--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,8 +1,9 @@
 //! Recovery after a start or a loss of state.
 //!
-//! A dispatcher that has just started knows nothing of the load on origins and of missed purges. This crate limits what it
-//! sends and which copies it accepts, so that hundreds of dispatchers that start together overload no host and return no
-//! stale copy. It does no I/O and reads no clock: callers pass in the time and the events, and act on the results.
+//! A dispatcher that has just started has no information about the load on origins or about purges that it missed. This
+//! crate limits the requests that it sends and the copies that it accepts, so that hundreds of dispatchers starting
+//! together overload no host and return no stale copy. The crate does no I/O and reads no clock: callers pass in the time
+//! and the events, and act on the results.
 
 pub mod bits;
 pub mod fill_limiter;
--- a/crates/recovery/src/slow_start_check.rs
+++ b/crates/recovery/src/slow_start_check.rs
@@ -1,31 +1,34 @@
-//! Checks, apart from the limit itself, that what one router sends to a host in slow start stays within its share.
+//! Checks, independently of the limit itself, that the load one router sends to a host in slow start stays within its
+//! share.
 
 use crate::WorkShare;
 use std::time::Duration;
 
-/// What the limit lets through in a window at most, in times of what the share is for it: the bucket's content and what drains.
-const MOST: f64 = 2.0;
+/// Upper bound on the work that the limit admits in one window, as a multiple of the share for that window: the content of
+/// the bucket plus what drains.
+const MAX_SHARE_MULTIPLE: f64 = 2.0;
 
-/// The work sent in the current window.
+/// Tracks the work sent in the current window.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStartCheck {
-    began: Duration,
-    sent: f64,
+    window_start: Duration,
+    sent_s: f64,
     rate: f64,
 }
 
 impl SlowStartCheck {
-    /// Counts a request of `work` seconds that is sent now; whether the share is kept.
+    /// Counts a request of the given processing time that is sent now, and returns whether the share is kept.
     ///
-    /// A share that falls, as when the host starts anew, begins a new window: what was sent before was within the earlier one.
-    /// A request heavier than the share passes now and then, so that one on each side of a window is let be.
-    pub fn check(&mut self, work: f64, share: WorkShare, now: Duration) -> bool {
-        let is_over = now.saturating_sub(self.began).as_secs_f64() >= share.window_s;
-        if is_over || share.rate < self.rate {
-            (self.began, self.sent) = (now, 0.0);
+    /// A share that falls, for example when the host restarts, begins a new window, since the work sent before was within
+    /// the earlier share. The limit occasionally admits a request heavier than the share, so one such request at each end
+    /// of a window is tolerated.
+    pub fn check(&mut self, work_s: f64, share: WorkShare, now: Duration) -> bool {
+        let is_window_over = now.saturating_sub(self.window_start).as_secs_f64() >= share.window_s;
+        if is_window_over || share.rate < self.rate {
+            (self.window_start, self.sent_s) = (now, 0.0);
         }
         self.rate = share.rate;
-        self.sent += work;
-        self.sent <= MOST * (share.rate * share.window_s + work)
+        self.sent_s += work_s;
+        self.sent_s <= MAX_SHARE_MULTIPLE * (share.rate * share.window_s + work_s)
     }
 }
--- a/crates/recovery/src/startup_timeline.rs
+++ b/crates/recovery/src/startup_timeline.rs
@@ -1,35 +1,37 @@
-//! Startup timeline: how long a dispatcher took from its start to readiness and to full service, and what delayed it.
+//! Startup timeline: how long a dispatcher takes from its start to readiness and to full service, and what delays it.
 //!
-//! Operators add these figures up over a fleet.
+//! Operators aggregate these figures over a fleet.
 
 use std::time::Duration;
 
-/// Length of the intervals in which service is counted.
+/// Length of the intervals in which requests are counted.
 const INTERVAL: Duration = Duration::from_millis(500);
-/// Service is full from the first moment on after which, for this long, at most `MAX_LOSS` of the requests were lost.
-const STABLE_FOR: Duration = Duration::from_secs(10);
-const MAX_LOSS: f64 = 0.02;
-const INTERVALS: usize = (STABLE_FOR.as_millis() / INTERVAL.as_millis()) as usize;
+/// Full service begins at the first moment after which, for this long, at most `MAX_LOSS_FRACTION` of the requests are
+/// lost.
+const STABILITY_PERIOD: Duration = Duration::from_secs(10);
+/// Largest fraction of lost requests that counts as full service.
+const MAX_LOSS_FRACTION: f64 = 0.02;
+const INTERVAL_COUNT: usize = (STABILITY_PERIOD.as_millis() / INTERVAL.as_millis()) as usize;
 
 /// Why a request was not answered in time after a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossCause {
     /// The host list is incomplete.
     HostList,
-    /// Purges since the start may be missing.
+    /// Purges may be missing, since the change log has not answered since the start.
     Purges,
-    /// No origin or parent had room for the fill, or the fill failed.
+    /// No origin or parent had capacity for the fill, or the fill failed.
     Source,
-    /// No cache took the request: all were cold, resting or crowded.
+    /// No cache accepted the request: all were in slow start, in backoff or overloaded.
     Host,
     Other,
 }
 
 impl LossCause {
-    /// All causes, in the order in which logs name them.
+    /// All causes, in the order in which they are logged.
     pub const ALL: [Self; 5] = [Self::HostList, Self::Purges, Self::Source, Self::Host, Self::Other];
 
-    /// The name in logs.
+    /// Name of the cause in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::HostList => "list",
@@ -41,102 +43,104 @@
     }
 }
 
-/// Times from the start to each milestone; none where it is not reached.
+/// Time from the start to each milestone; `None` if it is not reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Milestones {
-    /// The host list is known, and clients are taken.
+    /// The host list is known, and clients are accepted.
     pub hosts_known: Option<Duration>,
-    /// The change log answered: purges and hosts are complete.
+    /// The change log answered, so that the purges and the host list are complete.
     pub log_synced: Option<Duration>,
     /// The first request was answered.
     pub first_answer: Option<Duration>,
-    /// The beginning of full service.
+    /// Full service began.
     pub full_service: Option<Duration>,
 }
 
-/// Requests of one interval.
+/// Counts of requests in one interval.
 #[derive(Clone, Copy, Debug, Default)]
 struct Interval {
-    taken: u32,
+    accepted: u32,
     lost: u32,
 }
 
 impl Interval {
     fn is_lossy(self) -> bool {
-        f64::from(self.lost) > f64::from(self.taken) * MAX_LOSS
+        f64::from(self.lost) > f64::from(self.accepted) * MAX_LOSS_FRACTION
     }
 }
 
-/// The timeline of one process. Times passed in are of the program's own clock.
+/// Startup timeline of one process. Times passed in are readings of the program's own monotonic clock.
 #[derive(Clone, Debug)]
 pub struct StartupTimeline {
-    started: Duration,
+    started_at: Duration,
     milestones: Milestones,
-    intervals: [Interval; INTERVALS],
-    /// Number of the current interval, since the start.
-    current: u64,
+    intervals: [Interval; INTERVAL_COUNT],
+    /// Index of the interval in progress, counted from the start.
+    current_interval: u64,
+    /// Requests lost until full service, by cause.
     losses: [u64; LossCause::ALL.len()],
 }
 
-/// Sets a milestone that was not reached before. True: it was set now.
-fn reach(milestone: &mut Option<Duration>, elapsed: Duration) -> bool {
-    let first = milestone.is_none();
+/// Sets a milestone if it was not reached before. Returns whether it was set now.
+fn reach_milestone(milestone: &mut Option<Duration>, elapsed: Duration) -> bool {
+    let is_first = milestone.is_none();
     milestone.get_or_insert(elapsed);
-    first
+    is_first
 }
 
 impl StartupTimeline {
-    /// Begins the timeline of a process that starts now.
+    /// Creates the timeline of a process that starts now.
     pub fn start(now: Duration) -> Self {
         Self {
-            started: now,
+            started_at: now,
             milestones: Milestones::default(),
-            intervals: [Interval::default(); INTERVALS],
-            current: 0,
+            intervals: [Interval::default(); INTERVAL_COUNT],
+            current_interval: 0,
             losses: [0; LossCause::ALL.len()],
         }
     }
 
     fn elapsed(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.started)
+        now.saturating_sub(self.started_at)
     }
 
     fn interval(&mut self) -> &mut Interval {
-        &mut self.intervals[self.current as usize % INTERVALS]
+        &mut self.intervals[self.current_interval as usize % INTERVAL_COUNT]
     }
 
-    /// The host list is known, and clients may be taken. True: for the first time.
+    /// Records that the host list is known and clients may be accepted. Returns whether this is the first call.
     pub fn hosts_known(&mut self, now: Duration) -> bool {
         let elapsed = self.elapsed(now);
-        reach(&mut self.milestones.hosts_known, elapsed)
+        reach_milestone(&mut self.milestones.hosts_known, elapsed)
     }
 
-    /// The change log answered: purges and hosts are complete. True: for the first time.
+    /// Records that the change log answered, so that the purges and the host list are complete. Returns whether this is the
+    /// first call.
     pub fn log_synced(&mut self, now: Duration) -> bool {
         let elapsed = self.elapsed(now);
-        reach(&mut self.milestones.log_synced, elapsed)
+        reach_milestone(&mut self.milestones.log_synced, elapsed)
     }
 
-    /// Whether the change log answered since the start.
+    /// Whether the change log has answered since the start.
     pub fn is_log_synced(&self) -> bool {
         self.milestones.log_synced.is_some()
     }
 
-    /// A request was taken.
+    /// Records a request that was accepted.
     pub fn request_taken(&mut self, now: Duration) {
         self.advance(now);
-        self.interval().taken += 1;
+        self.interval().accepted += 1;
     }
 
-    /// A request was answered, in time or late. True: the first one.
+    /// Records a request that was answered, in time or late. Returns whether it is the first one.
     pub fn request_answered(&mut self, in_time: bool, now: Duration) -> bool {
         self.advance(now);
         self.interval().lost += u32::from(!in_time);
         let elapsed = self.elapsed(now);
-        reach(&mut self.milestones.first_answer, elapsed)
+        reach_milestone(&mut self.milestones.first_answer, elapsed)
     }
 
-    /// A request was not answered, for this cause.
+    /// Records a request that was not answered, and the cause.
     pub fn request_lost(&mut self, cause: LossCause, now: Duration) {
         self.advance(now);
         self.interval().lost += 1;
@@ -145,44 +149,47 @@
         }
     }
 
-    /// Advances to the interval of `now`. True: full service was reached, for the first time.
+    /// Advances to the interval of `now`. Returns whether full service was detected by this call.
     pub fn advance(&mut self, now: Duration) -> bool {
         let target = self.elapsed(now).div_duration_f64(INTERVAL) as u64;
-        let mut reached = false;
-        while self.current < target {
-            reached |= self.check_full_service();
-            // After a gap longer than all intervals together none of them counts any more.
-            let skips = target - self.current > INTERVALS as u64;
-            self.current = if skips { target - INTERVALS as u64 } else { self.current + 1 };
+        let mut is_full_service_reached = false;
+        while self.current_interval < target {
+            is_full_service_reached |= self.check_full_service();
+            // After a gap longer than all intervals together, none of their counts applies any more.
+            let is_gap = target - self.current_interval > INTERVAL_COUNT as u64;
+            self.current_interval =
+                if is_gap { target - INTERVAL_COUNT as u64 } else { self.current_interval + 1 };
             *self.interval() = Interval::default();
         }
-        reached
+        is_full_service_reached
     }
 
-    /// Whether the last intervals are the first ones of full service. Lossy intervals at their beginning do not count.
+    /// Sets the beginning of full service if the last intervals are its first ones. Lossy intervals at their beginning are
+    /// excluded. Returns whether it was set now.
     fn check_full_service(&mut self) -> bool {
         let Some(first_answer) = self.milestones.first_answer else { return false };
-        if self.milestones.full_service.is_some() || self.current + 1 < INTERVALS as u64 {
+        if self.milestones.full_service.is_some() || self.current_interval + 1 < INTERVAL_COUNT as u64 {
             return false;
         }
         let sum = |of: fn(&Interval) -> u32| self.intervals.iter().map(of).sum::<u32>();
-        let total = Interval { taken: sum(|interval| interval.taken), lost: sum(|interval| interval.lost) };
-        if total.taken == 0 || total.is_lossy() {
+        let total =
+            Interval { accepted: sum(|interval| interval.accepted), lost: sum(|interval| interval.lost) };
+        if total.accepted == 0 || total.is_lossy() {
             return false;
         }
-        let first = self.current + 1 - INTERVALS as u64;
-        let is_lossy = |number: &u64| self.intervals[*number as usize % INTERVALS].is_lossy();
-        let leading = (first..=self.current).take_while(is_lossy).count() as u64;
-        self.milestones.full_service = Some((INTERVAL * (first + leading) as u32).max(first_answer));
+        let first = self.current_interval + 1 - INTERVAL_COUNT as u64;
+        let is_lossy = |index: &u64| self.intervals[*index as usize % INTERVAL_COUNT].is_lossy();
+        let leading_lossy = (first..=self.current_interval).take_while(is_lossy).count() as u64;
+        self.milestones.full_service = Some((INTERVAL * (first + leading_lossy) as u32).max(first_answer));
         true
     }
 
-    /// The milestones reached so far.
+    /// Milestones reached so far.
     pub fn milestones(&self) -> Milestones {
         self.milestones
     }
 
-    /// Requests not answered until full service, by this cause.
+    /// Number of requests not answered before full service for this cause.
     pub fn losses_by(&self, cause: LossCause) -> u64 {
         self.losses[cause as usize]
     }
@@ -193,22 +200,23 @@
     use super::{LossCause, Milestones, StartupTimeline};
     use std::time::Duration;
 
-    /// A process that rejects requests for two seconds is at full service from then on, and reports it ten seconds later.
+    /// A process that loses requests for two seconds is at full service from then on. Full service is reported about ten
+    /// seconds later.
     #[test]
-    fn full_service_is_from_the_first_moment_after_which_it_stays() {
+    fn full_service_begins_at_the_first_moment_after_which_it_lasts() {
         let start = Duration::from_secs(3600);
         let mut timeline = StartupTimeline::start(start);
-        let mut reported = None;
+        let mut reported_ms = None;
         assert!(timeline.hosts_known(start) && !timeline.hosts_known(start));
         for ms in (0..20_000u64).step_by(20) {
             let now = start + Duration::from_millis(ms);
             if timeline.advance(now) {
-                reported = Some(ms);
+                reported_ms = Some(ms);
             }
             timeline.request_taken(now);
             match ms {
                 0..2000 if ms % 100 == 0 => timeline.request_lost(LossCause::Source, now),
-                // One request in two hundred is lost on any day.
+                // One request in two hundred is lost in normal operation.
                 _ if ms % 4000 == 3980 => timeline.request_lost(LossCause::Other, now),
                 _ => {
                     timeline.request_answered(true, now);
@@ -216,13 +224,13 @@
             }
         }
         assert_eq!(timeline.milestones().full_service, Some(Duration::from_secs(2)));
-        // The lossy first interval is skipped, so ten seconds are seen half a second earlier.
-        assert_eq!((reported, timeline.losses_by(LossCause::Source)), (Some(11_500), 20));
+        // One lossy interval at the beginning is within the loss limit, so ten seconds are covered half a second earlier.
+        assert_eq!((reported_ms, timeline.losses_by(LossCause::Source)), (Some(11_500), 20));
     }
 
-    /// Where nothing is answered service is never full, however quiet it is.
+    /// A process that answers no request never reaches full service, even without any loss.
     #[test]
-    fn without_a_get_returned_it_is_never_full() {
+    fn full_service_is_not_reached_without_an_answered_request() {
         let mut timeline = StartupTimeline::start(Duration::ZERO);
         for ms in (0..60_000u64).step_by(100) {
             assert!(!timeline.advance(Duration::from_millis(ms)));
