--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions as short traces, kept under `tests/snapshots` and read by people.
+//! Decisions of the router as short, readable traces, compared with the snapshots in `tests/snapshots`.
 
 mod common;
 
@@ -9,297 +9,305 @@
 use serde_json::json;
 
 #[test]
-fn ordinary_path_ring_ranks_and_renewal() {
-    let mut day = Day::new(settings());
+fn ordinary_gets_show_ring_order_retention_rank_and_renewal() {
+    let mut fixture = Day::new(settings());
     for object in [1, 2, 3, 1] {
-        let get = day.take(1, object);
-        day.end(get, 0, End::Returned, Note::Hit, 110);
+        let get = fixture.take(1, object);
+        fixture.end(get, 0, End::Returned, Note::Hit, 110);
     }
-    assert_snapshot!(day.trace.lines);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn busy_doubles_the_accepted_age_and_idle_takes_it_back() {
-    let mut day = Day::new(settings());
+fn a_busy_origin_doubles_the_accepted_age_and_an_idle_one_lets_copies_be_renewed() {
+    let mut fixture = Day::new(settings());
     for object in 1..=6 {
-        let get = day.take(1, object);
-        day.now += ms(500);
-        day.end(get, 0, End::Returned, Note::FilledFromOrigin, 600);
+        let get = fixture.take(1, object);
+        fixture.now += ms(500);
+        fixture.end(get, 0, End::Returned, Note::FilledFromOrigin, 600);
     }
-    day.trace.say("the window passes without fills");
-    day.after(6000);
-    day.take(1, 9);
-    assert_snapshot!(day.trace.lines);
+    fixture.trace.say("the window of the busy flag passes without fills");
+    fixture.after(6000);
+    fixture.take(1, 9);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn a_told_origin_rate_sets_the_flag_by_count() {
-    let mut told = settings();
-    told["domain"]["origin_rate_per_s"] = json!(1.2);
-    let mut day = Day::new(told);
+fn a_configured_origin_rate_sets_the_busy_flag_by_fill_count() {
+    let mut configuration = settings();
+    configuration["domain"]["origin_rate_per_s"] = json!(1.2);
+    let mut fixture = Day::new(configuration);
     for object in 1..=5 {
-        let get = day.take(1, object);
-        day.end(get, 0, End::Returned, Note::FilledFromOrigin, 120);
+        let get = fixture.take(1, object);
+        fixture.end(get, 0, End::Returned, Note::FilledFromOrigin, 120);
     }
-    assert_snapshot!(day.trace.lines);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn no_copy_older_than_a_purge_of_the_object_or_its_group() {
-    let mut day = Day::new(settings());
-    day.round(|round| round.on_purge(PurgeKey::Object(1), ms(0)));
-    day.trace.say("just purged: a tiny limit, for zero would mean any age");
-    day.take(0, 1);
-    day.take(0, 2);
-    day.after(1000);
-    day.take(0, 1);
-    day.round(|round| round.on_purge(PurgeKey::Group(0), ms(80)));
-    day.trace.say("the whole group, told 80 ms late");
-    day.take(1, 2);
-    day.after(7000);
-    day.trace.say("all have dropped it");
-    day.take(0, 1);
-    assert_snapshot!(day.trace.lines);
+fn no_copy_older_than_a_purge_of_its_object_or_group_is_accepted() {
+    let mut fixture = Day::new(settings());
+    fixture.round(|round| round.on_purge(PurgeKey::Object(1), ms(0)));
+    fixture.trace.say("just purged: a very short accepted age, since zero means any age");
+    fixture.take(0, 1);
+    fixture.take(0, 2);
+    fixture.after(1000);
+    fixture.take(0, 1);
+    fixture.round(|round| round.on_purge(PurgeKey::Group(0), ms(80)));
+    fixture.trace.say("the whole group is purged, with a delay of 80 ms");
+    fixture.take(1, 2);
+    fixture.after(7000);
+    fixture.trace.say("all hosts have executed the purge");
+    fixture.take(0, 1);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn nothing_goes_to_draining_or_gone_hosts_nor_from_them() {
-    let mut day = Day::new(settings());
+fn draining_and_removed_hosts_get_no_forwards_and_no_fills() {
+    let mut fixture = Day::new(settings());
     let draining = HostEntry { status: HostStatus::Draining, ..entry(0) };
-    day.list(
+    fixture.list(
         ListUpdate::Changes,
         &[draining, HostEntry { status: HostStatus::Removed, ..entry(PARENTS[0]) }],
     );
     for object in 0..12 {
-        day.take(0, object);
+        fixture.take(0, object);
     }
-    assert!(!day.trace.sent.contains(&0) && !day.trace.lines.contains("parent 3"));
-    day.trace = Default::default();
-    day.trace.say("a whole list without cache 1 and without parents");
-    day.list(ListUpdate::Full, &[entry(0), entry(2), entry(ORIGIN)]);
+    assert!(!fixture.trace.sent.contains(&0) && !fixture.trace.lines.contains("parent 3"));
+    fixture.trace = Default::default();
+    fixture.trace.say("a full list without cache 1 and without parents");
+    fixture.list(ListUpdate::Full, &[entry(0), entry(2), entry(ORIGIN)]);
     for object in 100..104 {
-        let get = day.take(0, object);
-        day.end(get, 0, End::Returned, Note::Filled, 110);
+        let get = fixture.take(0, object);
+        fixture.end(get, 0, End::Returned, Note::Filled, 110);
     }
-    assert!(!day.trace.sent.contains(&1));
-    assert_snapshot!(day.trace.lines);
+    assert!(!fixture.trace.sent.contains(&1));
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn a_write_goes_on_or_is_shed_only_if_proven_not_run() {
-    let mut day = Day::new(settings());
+fn a_write_is_forwarded_again_or_shed_only_if_proven_not_run() {
+    let mut fixture = Day::new(settings());
     let ends = [End::Full, End::NoConnection, End::NeverSent, End::Miss];
     for end in ends.into_iter().chain([End::Errored, End::TimedOut, End::Reset, End::Withdrawn, End::Spoilt])
     {
-        day.trace.say(&format!("{end:?}"));
-        let get = day.take(2, 1);
-        day.end(get, 0, end, Note::Untold, 20);
-        day.end(get, 1, End::Full, Note::Untold, 20);
-        day.end(get, 2, End::Full, Note::Untold, 20);
+        fixture.trace.say(&format!("{end:?}"));
+        let get = fixture.take(2, 1);
+        fixture.end(get, 0, end, Note::Untold, 20);
+        fixture.end(get, 1, End::Full, Note::Untold, 20);
+        fixture.end(get, 2, End::Full, Note::Untold, 20);
     }
-    assert_snapshot!(day.trace.lines);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn a_spoilt_answer_is_asked_for_again_where_it_was_and_an_error_is_held_against_its_host_alone() {
-    let mut day = Day::new(settings());
+fn a_malformed_answer_is_retried_at_the_same_host_and_an_error_counts_against_its_host_alone() {
+    let mut fixture = Day::new(settings());
     for _ in 0..5 {
-        let get = day.take(0, 1);
-        day.end(get, 0, End::Spoilt, Note::Untold, 20);
-        day.end(get, 1, End::Returned, Note::Hit, 100);
+        let get = fixture.take(0, 1);
+        fixture.end(get, 0, End::Spoilt, Note::Untold, 20);
+        fixture.end(get, 1, End::Returned, Note::Hit, 100);
     }
-    day.trace.say("nobody knows what these ask for");
+    fixture.trace.say("no host returns these GETs");
     for _ in 0..5 {
-        let get = day.take(0, 1);
-        (0..3).for_each(|hop| day.end(get, hop, End::Errored, Note::Untold, 20));
+        let get = fixture.take(0, 1);
+        (0..3).for_each(|attempt| fixture.end(get, attempt, End::Errored, Note::Untold, 20));
     }
-    day.trace.say("another returns what the first errs on: the first is left out");
+    fixture.trace.say("another cache returns the GETs that fail at the first one, which is then avoided");
     for _ in 0..4 {
-        let get = day.take(0, 1);
-        day.end(get, 0, End::Errored, Note::Untold, 20);
-        day.end(get, 1, End::Returned, Note::Hit, 100);
+        let get = fixture.take(0, 1);
+        fixture.end(get, 0, End::Errored, Note::Untold, 20);
+        fixture.end(get, 1, End::Returned, Note::Hit, 100);
     }
-    assert_snapshot!(day.trace.lines);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn a_wait_that_small_fills_have_too_is_no_reason_to_shed_a_large_one() {
-    let mut day = after_late_fills(Note::Filled, 420);
+fn a_fixed_wait_of_all_fills_does_not_cause_a_large_get_to_be_shed() {
+    let mut fixture = fixture_after_late_fills(Note::Filled, 420);
     let get = Get { ds: 0, object: 100, size_kb: 4000.0, viewer_timeout: ms(5000), ..Get::default() };
-    day.trace.say("fills of 100 ms sending waited 320 ms; one of 400 ms has time for that");
-    day.round(|round| round.on_get(get));
-    assert_snapshot!(day.trace.lines);
+    fixture
+        .trace
+        .say("fills with 100 ms of sending time waited 320 ms; one with 400 ms has time for that wait");
+    fixture.round(|round| round.on_get(get));
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn a_late_fill_alone_cuts_no_source_and_late_ones_together_do() {
-    let counts = [16, 2].map(|late| {
-        let mut day = Day::new(settings());
+fn occasional_late_fills_do_not_cut_a_source_limit_and_frequent_ones_do() {
+    let lines = [16, 2].map(|one_in| {
+        let mut fixture = Day::new(settings());
         for object in 0..120 {
-            let get = day.take(0, object);
-            day.after(300);
-            day.end(get, 0, End::Returned, Note::Filled, if object % late == 0 { 1000 } else { 110 });
+            let get = fixture.take(0, object);
+            fixture.after(300);
+            fixture.end(get, 0, End::Returned, Note::Filled, if object % one_in == 0 { 1000 } else { 110 });
         }
-        day.after(20_000);
-        day.trace.lines.clear();
-        (0..16).for_each(|object| _ = day.take(0, 1000 + object));
-        let all = day.trace.lines.matches("from parent").count();
-        format!("one in {late} late: {all} of 16 fills from parents")
+        fixture.after(20_000);
+        fixture.trace.lines.clear();
+        (0..16).for_each(|object| _ = fixture.take(0, 1000 + object));
+        let from_parents = fixture.trace.lines.matches("from parent").count();
+        format!("one in {one_in} fills late: {from_parents} of 16 fills from parents")
     });
-    assert_snapshot!(counts.join("\n"));
+    assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn a_cache_slower_than_the_best_one_is_passed_by_where_sizes_are_untold_too() {
-    let mut day = Day::new(settings());
-    let mut said = Vec::new();
-    for slow in [100, 900] {
-        let mut at_first = 0;
+fn a_cache_slower_than_the_best_one_gets_fewer_gets_even_with_unknown_sizes() {
+    let mut fixture = Day::new(settings());
+    let mut lines = Vec::new();
+    for hit_ms in [100, 900] {
+        let mut gets_at_cache_0 = 0;
         for object in 0..200 {
             let get = Get { ds: 0, object: object % 40, viewer_timeout: ms(5000), ..Get::default() };
-            let mut place = 0;
-            day.round(|round| {
-                place = round.next_get_index();
+            let mut get_index = 0;
+            fixture.round(|round| {
+                get_index = round.next_get_index();
                 round.on_get(get);
             });
-            let host = day.trace.last.unwrap().host;
-            at_first += u32::from(host == CACHES[0] && (20..120).contains(&object));
-            day.now += ms(20);
-            day.end(place, 0, End::Returned, Note::Hit, if host == CACHES[0] { slow } else { 100 });
-            day.after(25);
+            let host = fixture.trace.last.unwrap().host;
+            gets_at_cache_0 += u32::from(host == CACHES[0] && (20..120).contains(&object));
+            fixture.now += ms(20);
+            fixture.end(get_index, 0, End::Returned, Note::Hit, if host == CACHES[0] { hit_ms } else { 100 });
+            fixture.after(25);
         }
-        said.push(format!("hits at cache 0 take {slow} ms, at the others 100: it gets {at_first} of 100"));
+        lines.push(format!(
+            "a hit takes {hit_ms} ms at cache 0 and 100 ms at the others: cache 0 gets {gets_at_cache_0} of 100 GETs"
+        ));
     }
-    assert_snapshot!(said.join("\n"));
+    assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn what_its_client_broke_off_early_cuts_no_source() {
-    let mut day = Day::new(settings());
+fn gets_that_clients_abandon_early_do_not_cut_a_source_limit() {
+    let mut fixture = Day::new(settings());
     for object in 0..40 {
-        let get = day.take(0, object);
-        day.round(|round| round.on_abandoned(get));
-        day.end(get, 0, End::Withdrawn, Note::Untold, 5);
-        day.after(300);
+        let get = fixture.take(0, object);
+        fixture.round(|round| round.on_abandoned(get));
+        fixture.end(get, 0, End::Withdrawn, Note::Untold, 5);
+        fixture.after(300);
     }
-    day.trace.lines.clear();
-    day.trace.say("fills at once, each from the parent that its ring names");
-    (0..16).for_each(|object| _ = day.take(0, 1000 + object));
-    assert_snapshot!(day.trace.lines);
+    fixture.trace.lines.clear();
+    fixture.trace.say("concurrent fills, each from its first parent on the ring");
+    (0..16).for_each(|object| _ = fixture.take(0, 1000 + object));
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
 fn a_tokened_get_that_may_have_run_stays_in_its_group_and_window() {
-    let mut day = Day::new(settings());
-    let get = day.take(3, 1);
-    day.end(get, 0, End::Reset, Note::Untold, 20);
-    day.trace.say("its own location has no other cache left: parents are outside the group");
-    let gone = CACHES.map(|host| HostEntry { status: HostStatus::Removed, ..entry(host) });
-    day.list(ListUpdate::Changes, &gone);
-    day.end(get, 1, End::Reset, Note::Untold, 20);
-    assert_snapshot!(day.trace.lines);
+    let mut fixture = Day::new(settings());
+    let get = fixture.take(3, 1);
+    fixture.end(get, 0, End::Reset, Note::Untold, 20);
+    fixture.trace.say("its location has no other cache left, and parents are outside its group");
+    let removed = CACHES.map(|host| HostEntry { status: HostStatus::Removed, ..entry(host) });
+    fixture.list(ListUpdate::Changes, &removed);
+    fixture.end(get, 1, End::Reset, Note::Untold, 20);
+    assert_snapshot!(fixture.trace.lines);
 }
 
-/// Work that 200 different objects ask of a host within the time in which a cold one falls over, s of sending.
-fn work_to(started: [HostIndex; 2], host: HostIndex) -> (f64, f64) {
-    let mut day = Day::new(settings());
-    let fresh = started.map(|host| HostEntry { start: Start::At(day.now), ..entry(host) });
-    day.list(ListUpdate::Changes, &fresh);
-    let (mut sent, mut filled) = (0.0, 0.0);
+/// Starts two hosts and takes GETs for 200 different objects within the time in which overload takes down a cold host.
+/// Returns the sending time, in seconds, of the GETs that go to `host` and of those that are filled from it.
+fn work_at(started: [HostIndex; 2], host: HostIndex) -> (f64, f64) {
+    let mut fixture = Day::new(settings());
+    let entries = started.map(|host| HostEntry { start: Start::At(fixture.now), ..entry(host) });
+    fixture.list(ListUpdate::Changes, &entries);
+    let (mut sent_s, mut filled_s) = (0.0, 0.0);
     for object in 0..200 {
-        day.now += ms(5);
-        let get = day.take(0, object);
-        let forward = day.trace.last.unwrap();
-        sent += if forward.host == host { 0.1 } else { 0.0 };
-        filled += if forward.source == host { 0.1 } else { 0.0 };
-        day.end(get, 0, End::Returned, Note::Filled, 110);
+        fixture.now += ms(5);
+        let get = fixture.take(0, object);
+        let forward = fixture.trace.last.unwrap();
+        sent_s += if forward.host == host { 0.1 } else { 0.0 };
+        filled_s += if forward.source == host { 0.1 } else { 0.0 };
+        fixture.end(get, 0, End::Returned, Note::Filled, 110);
     }
-    (sent, filled)
+    (sent_s, filled_s)
 }
 
 #[test]
-fn a_cold_cache_and_a_cold_parent_are_not_pushed_over() {
-    let bears = |units: f64, from: f64| 2.0 * from * units;
-    let (cache, parent) = (work_to([0, 3], 0).0, work_to([0, 3], 3).1);
-    assert!(cache > 0.0 && cache * 2.0 <= bears(4.0, 0.25), "two routers send a cold cache {cache} s each");
+fn a_cold_cache_and_a_cold_parent_are_not_overloaded() {
+    let overload_s = |weight: f64, initial_fraction: f64| 2.0 * initial_fraction * weight;
+    let (cache_s, parent_s) = (work_at([0, 3], 0).0, work_at([0, 3], 3).1);
     assert!(
-        parent > 0.0 && parent * 2.0 <= bears(30.0, 0.12),
-        "two routers ask {parent} s each of a cold parent"
+        cache_s > 0.0 && cache_s * 2.0 <= overload_s(4.0, 0.25),
+        "two routers each send {cache_s} s of work to a cold cache"
+    );
+    assert!(
+        parent_s > 0.0 && parent_s * 2.0 <= overload_s(30.0, 0.12),
+        "two routers each request {parent_s} s of fills from a cold parent"
     );
 }
 
 #[test]
-fn a_cold_cache_that_turns_gets_away_is_rested() {
-    let mut day = Day::new(settings());
-    let started = day.now - ms(10_000);
-    day.list(ListUpdate::Changes, &[HostEntry { start: Start::At(started), ..entry(0) }]);
-    let mut full = 0;
+fn a_cold_cache_that_rejects_gets_enters_backoff() {
+    let mut fixture = Day::new(settings());
+    let started_at = fixture.now - ms(10_000);
+    fixture.list(ListUpdate::Changes, &[HostEntry { start: Start::At(started_at), ..entry(0) }]);
+    let mut rejected = 0;
     for object in 0..60 {
-        let get = day.take(0, object);
-        let cold = day.trace.last.unwrap().host == 0;
-        full += u32::from(cold);
-        day.end(get, 0, if cold { End::Full } else { End::Returned }, Note::NoFillPlace, 5);
-        day.end(get, 1, End::Returned, Note::Hit, 110);
+        let get = fixture.take(0, object);
+        let is_cold = fixture.trace.last.unwrap().host == 0;
+        rejected += u32::from(is_cold);
+        fixture.end(get, 0, if is_cold { End::Full } else { End::Returned }, Note::NoFillPlace, 5);
+        fixture.end(get, 1, End::Returned, Note::Hit, 110);
     }
-    assert_eq!(full, 3, "forwards to a cold cache that is full");
+    assert_eq!(rejected, 3, "forwards to a cold cache that rejects all GETs");
 }
 
 #[test]
-fn a_silent_cache_is_left_and_tried_again_later() {
-    let mut day = Day::new(settings());
-    let silent = {
-        day.take(0, 1);
-        day.trace.last.unwrap().host
+fn an_unresponsive_cache_is_avoided_while_its_answers_are_overdue() {
+    let mut fixture = Day::new(settings());
+    let unresponsive = {
+        fixture.take(0, 1);
+        fixture.trace.last.unwrap().host
     };
     let mut object = 2;
-    while day.trace.sent.iter().filter(|&&host| host == silent).count() < 4 {
-        let get = day.take(0, object);
-        if day.trace.last.unwrap().host != silent {
-            day.end(get, 0, End::Returned, Note::Hit, 110);
+    while fixture.trace.sent.iter().filter(|&&host| host == unresponsive).count() < 4 {
+        let get = fixture.take(0, object);
+        if fixture.trace.last.unwrap().host != unresponsive {
+            fixture.end(get, 0, End::Returned, Note::Hit, 110);
         }
         object += 1;
     }
-    day.trace = Default::default();
-    day.after(3);
-    day.trace.say("all that is out there is overdue: new GETs pass it by");
-    day.after(700);
+    fixture.trace = Default::default();
+    fixture.after(3);
+    fixture.trace.say("all GETs in flight there are overdue: new GETs avoid the cache");
+    fixture.after(700);
     for object in 1..8 {
-        let get = day.take(1, object);
-        day.end(get, 0, End::Returned, Note::Hit, 110);
+        let get = fixture.take(1, object);
+        fixture.end(get, 0, End::Returned, Note::Hit, 110);
     }
-    assert!(!day.trace.sent.contains(&silent));
-    assert_snapshot!(day.trace.lines);
+    assert!(!fixture.trace.sent.contains(&unresponsive));
+    assert_snapshot!(fixture.trace.lines);
 }
 
-/// A router whose last forty fills all came late.
-fn after_late_fills(note: Note, spent: u64) -> Day {
-    let mut day = Day::new(settings());
+/// Returns a fixture in which the last forty fills were all late.
+fn fixture_after_late_fills(note: Note, elapsed_ms: u64) -> Day {
+    let mut fixture = Day::new(settings());
     for object in 0..40 {
-        let get = day.take(0, object);
-        day.now += ms(300);
-        day.end(get, 0, End::Returned, note, spent);
+        let get = fixture.take(0, object);
+        fixture.now += ms(300);
+        fixture.end(get, 0, End::Returned, note, elapsed_ms);
     }
-    day.trace = Default::default();
-    day
+    fixture.trace = Default::default();
+    fixture
 }
 
 #[test]
-fn late_fills_bound_their_source_and_what_is_over_it_is_asked_only_of_what_parents_hold() {
-    let mut day = after_late_fills(Note::FilledFromOrigin, 2000);
-    day.trace.say("every source's fills came late for long");
+fn late_fills_limit_their_source_and_excess_gets_use_only_copies_held_by_parents() {
+    let mut fixture = fixture_after_late_fills(Note::FilledFromOrigin, 2000);
+    fixture.trace.say("the fills of all sources have been late for a long time");
     for object in 100..105 {
-        day.take(0, object);
+        fixture.take(0, object);
     }
-    day.trace.say("the parent lacks it");
-    day.end(4, 0, End::Miss, Note::SourceLacks, 10);
-    assert_snapshot!(day.trace.lines);
+    fixture.trace.say("the parent does not hold the object");
+    fixture.end(4, 0, End::Miss, Note::SourceLacks, 10);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn nothing_is_said_of_a_get_after_its_final_answer() {
-    let mut day = Day::new(settings());
-    let get = day.take(0, 1);
-    let o = Outcome {
+fn no_decision_follows_the_final_answer_of_a_get() {
+    let mut fixture = Day::new(settings());
+    let get = fixture.take(0, 1);
+    let outcome = Outcome {
         attempt: 0,
         end: End::Errored,
         elapsed: ms(5),
@@ -308,155 +316,162 @@
         source_wait: ms(0),
         load: LoadReport::default(),
     };
-    day.trace.say("abandoned and an outcome in one round, then a late outcome for the place");
-    day.round(|round| {
+    fixture.trace.say("abandoned and an outcome in one round, then a late outcome for the reused GET index");
+    fixture.round(|round| {
         round.on_abandoned(get);
-        round.on_outcome(get, &o);
+        round.on_outcome(get, &outcome);
         round.on_abandoned(get)
     });
-    let again = day.take(0, 2);
-    day.end(again, 7, End::Returned, Note::Hit, 5);
-    day.trace.say("time-out at the viewer timeout");
-    day.now += ms(5000);
-    day.end(again, 0, End::TimedOut, Note::Untold, 5000);
-    day.end(again, 0, End::Returned, Note::Hit, 5000);
-    assert_snapshot!(day.trace.lines);
+    let next_get = fixture.take(0, 2);
+    fixture.end(next_get, 7, End::Returned, Note::Hit, 5);
+    fixture.trace.say("the forward times out at the viewer timeout");
+    fixture.now += ms(5000);
+    fixture.end(next_get, 0, End::TimedOut, Note::Untold, 5000);
+    fixture.end(next_get, 0, End::Returned, Note::Hit, 5000);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn what_would_be_late_at_its_cache_goes_on_along_the_ring_or_is_shed() {
-    let mut day = Day::new(settings());
-    let big = Get { ds: 0, object: 1, size_kb: 8000.0, viewer_timeout: ms(5000), ..Get::default() };
+fn a_get_that_would_be_late_at_its_cache_goes_along_the_ring_or_is_shed() {
+    let mut fixture = Day::new(settings());
+    let large_get = Get { ds: 0, object: 1, size_kb: 8000.0, viewer_timeout: ms(5000), ..Get::default() };
     for part in 0..6 {
-        day.round(|round| round.on_get(Get { part, ..big }));
+        fixture.round(|round| round.on_get(Get { part, ..large_get }));
     }
-    day.trace.say("small ones are still in time there");
-    day.take(1, 1);
-    assert_snapshot!(day.trace.lines);
+    fixture.trace.say("a small object is still in time at its cache");
+    fixture.take(1, 1);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn one_part_tells_the_sending_time_of_the_others_where_sizes_are_untold() {
-    let mut day = Day::new(settings());
-    let part = |part, object| Get { ds: 0, object, part, viewer_timeout: ms(5000), ..Get::default() };
+fn one_part_predicts_the_sending_time_of_the_others_with_unknown_sizes() {
+    let mut fixture = Day::new(settings());
+    let get_part = |part, object| Get { ds: 0, object, part, viewer_timeout: ms(5000), ..Get::default() };
     for object in [1, 2] {
-        day.round(|round| round.on_get(part(0, object)));
-        day.end(0, 0, End::Returned, Note::Hit, if object == 1 { 1500 } else { 50 });
+        fixture.round(|round| round.on_get(get_part(0, object)));
+        fixture.end(0, 0, End::Returned, Note::Hit, if object == 1 { 1500 } else { 50 });
     }
     for object in [1, 2] {
-        day.trace.say(&format!("parts of object {object} at once"));
-        (1..6).for_each(|next| day.round(|round| round.on_get(part(next, object))));
+        fixture.trace.say(&format!("parts of object {object} at once"));
+        (1..6).for_each(|part| fixture.round(|round| round.on_get(get_part(part, object))));
     }
-    assert_snapshot!(day.trace.lines);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn what_no_source_fills_in_time_is_looked_for_at_its_cache_once() {
-    let mut day = after_late_fills(Note::Filled, 2500);
-    day.trace.say("fills took twenty-five times their sending time: a hit is returned, a miss shed");
+fn a_get_that_no_source_fills_in_time_is_sent_for_held_copies_first() {
+    let mut fixture = fixture_after_late_fills(Note::Filled, 2500);
+    fixture.trace.say("fills took 25 times their sending time: one GET ends with a hit, one with a miss");
     for (end, note) in [(End::Returned, Note::Hit), (End::Miss, Note::Untold)] {
-        let get = day.take(0, 100);
-        day.end(get, 0, end, note, 100);
+        let get = fixture.take(0, 100);
+        fixture.end(get, 0, end, note, 100);
     }
-    day.trace.say("the pace is half forgotten in 2 s, so that fills are tried again");
-    day.after(20_000);
-    day.take(0, 101);
-    assert_snapshot!(day.trace.lines);
+    fixture.trace.say("the latency estimate decays by half in 2 s, so that fills are tried again");
+    fixture.after(20_000);
+    fixture.take(0, 101);
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn a_parent_whose_fills_hang_is_left_though_caches_answer() {
-    let mut day = Day::new(settings());
+fn a_parent_whose_fills_hang_is_avoided_although_caches_answer() {
+    let mut fixture = Day::new(settings());
     for object in 0..24 {
-        let get = day.take(0, object);
-        let hangs = day.trace.last.unwrap().source == PARENTS[0];
-        day.now += ms(100);
-        for other in 0..6 {
-            let hit = day.take(1, 1000 + other);
-            day.end(hit, 0, End::Returned, Note::Hit, 100);
+        let get = fixture.take(0, object);
+        let is_hanging = fixture.trace.last.unwrap().source == PARENTS[0];
+        fixture.now += ms(100);
+        for cached_object in 0..6 {
+            let hit = fixture.take(1, 1000 + cached_object);
+            fixture.end(hit, 0, End::Returned, Note::Hit, 100);
         }
-        day.now += ms(2400);
-        day.round(|round| round.on_abandoned(get));
-        day.end(get, 0, if hangs { End::Withdrawn } else { End::Returned }, Note::Filled, 2500);
+        fixture.now += ms(2400);
+        fixture.round(|round| round.on_abandoned(get));
+        fixture.end(get, 0, if is_hanging { End::Withdrawn } else { End::Returned }, Note::Filled, 2500);
     }
-    day.trace = Default::default();
-    day.now += ms(1);
+    fixture.trace = Default::default();
+    fixture.now += ms(1);
     for object in 100..110 {
-        day.take(1, object);
+        fixture.take(1, object);
     }
-    assert!(!day.trace.lines.contains("parent 3"));
-    assert_snapshot!(day.trace.lines);
+    assert!(!fixture.trace.lines.contains("parent 3"));
+    assert_snapshot!(fixture.trace.lines);
 }
 
 #[test]
-fn a_preempted_cache_its_death_and_its_cold_replacement() {
-    let mut day = Day::new(settings());
-    day.trace.say("listed as draining");
-    day.list(ListUpdate::Changes, &[HostEntry { status: HostStatus::Draining, ..entry(0) }]);
-    let to = |day: &mut Day, host| {
-        let before = day.trace.sent.iter().filter(|&&h| h == host).count();
+fn a_preempted_cache_gets_no_gets_and_its_cold_replacement_gets_few() {
+    let mut fixture = Day::new(settings());
+    fixture.trace.say("the cache is listed as draining");
+    fixture.list(ListUpdate::Changes, &[HostEntry { status: HostStatus::Draining, ..entry(0) }]);
+    let count_forwards = |fixture: &mut Day, host| {
+        let before = fixture.trace.sent.iter().filter(|&&sent_to| sent_to == host).count();
         for object in 0..60 {
-            let get = day.take(1, object);
-            day.end(get, 0, End::Returned, Note::Hit, 50);
+            let get = fixture.take(1, object);
+            fixture.end(get, 0, End::Returned, Note::Hit, 50);
         }
-        day.trace.sent.iter().filter(|&&h| h == host).count() - before
+        fixture.trace.sent.iter().filter(|&&sent_to| sent_to == host).count() - before
     };
-    assert_eq!(to(&mut day, 0), 0);
-    let (gone, new) = (
+    assert_eq!(count_forwards(&mut fixture, 0), 0);
+    let (removed, replacement) = (
         HostEntry { status: HostStatus::Removed, ..entry(0) },
         HostEntry { zone: 1, kind: 0, weight: 4.0, ..entry(6) },
     );
-    day.list(ListUpdate::Changes, &[gone, HostEntry { start: Start::At(day.now), ..new }]);
-    let cold = to(&mut day, 6);
-    day.after(18_000);
-    let warm = to(&mut day, 6);
-    assert!(0 < cold && cold < warm, "of 60 GETs {cold} go to the cold replacement, {warm} once it is warm");
+    fixture.list(ListUpdate::Changes, &[removed, HostEntry { start: Start::At(fixture.now), ..replacement }]);
+    let cold_count = count_forwards(&mut fixture, 6);
+    fixture.after(18_000);
+    let warm_count = count_forwards(&mut fixture, 6);
+    assert!(
+        0 < cold_count && cold_count < warm_count,
+        "of 60 GETs {cold_count} go to the cold replacement, and {warm_count} once it is warm"
+    );
 }
 
 #[test]
-fn an_ageing_cache_is_passed_by_as_it_slows_and_its_return_is_cold() {
-    let mut told = settings();
-    told["weights"] = json!("silent");
-    let mut day = Day::new(told);
-    let share = |day: &mut Day, spent: u64, end: End| {
-        let mut sent = 0;
+fn a_cache_gets_fewer_gets_as_it_slows_and_none_after_it_fails() {
+    let mut configuration = settings();
+    configuration["weights"] = json!("silent");
+    let mut fixture = Day::new(configuration);
+    let count_forwards_to_cache_0 = |fixture: &mut Day, elapsed_ms: u64, end: End| {
+        let mut forwards = 0;
         for object in 0..60 {
-            day.now += ms(20);
-            let get = day.take(0, object);
-            let old = day.trace.last.unwrap().host == 0;
-            sent += u32::from(old);
-            day.end(get, 0, if old { end } else { End::Returned }, Note::Hit, if old { spent } else { 100 });
-            day.end(get, 1, End::Returned, Note::Hit, 100);
+            fixture.now += ms(20);
+            let get = fixture.take(0, object);
+            let is_cache_0 = fixture.trace.last.unwrap().host == 0;
+            forwards += u32::from(is_cache_0);
+            let (end, elapsed_ms) = if is_cache_0 { (end, elapsed_ms) } else { (End::Returned, 100) };
+            fixture.end(get, 0, end, Note::Hit, elapsed_ms);
+            fixture.end(get, 1, End::Returned, Note::Hit, 100);
         }
-        sent
+        forwards
     };
     let counts = [
-        ("at full pace", share(&mut day, 100, End::Returned)),
-        ("ten times slower", share(&mut day, 1000, End::Returned)),
-        ("dead", share(&mut day, 1, End::Reset)),
+        ("at full speed", count_forwards_to_cache_0(&mut fixture, 100, End::Returned)),
+        ("ten times slower", count_forwards_to_cache_0(&mut fixture, 1000, End::Returned)),
+        ("unreachable", count_forwards_to_cache_0(&mut fixture, 1, End::Reset)),
     ];
-    let told = counts.map(|(when, sent)| format!("{when}: {sent} of 60 GETs")).join("\n");
-    assert_snapshot!(told);
+    let report = counts.map(|(state, forwards)| format!("{state}: {forwards} of 60 GETs")).join("\n");
+    assert_snapshot!(report);
 }
 
 #[test]
-fn hosts_that_restart_together_get_their_budgets_and_no_more() {
-    let (cache, other) = (work_to([0, 1], 0).0, work_to([0, 1], 1).0);
-    for work in [cache, other] {
-        assert!(work > 0.0 && work * 2.0 <= 2.0 * 0.25 * 4.0, "two routers send a cold cache {work} s each");
+fn hosts_that_restart_together_get_work_within_their_slow_start_limits() {
+    let (first_s, second_s) = (work_at([0, 1], 0).0, work_at([0, 1], 1).0);
+    for work_s in [first_s, second_s] {
+        assert!(
+            work_s > 0.0 && work_s * 2.0 <= 2.0 * 0.25 * 4.0,
+            "two routers each send {work_s} s of work to a cold cache"
+        );
     }
 }
 
 #[test]
-fn odd_settings_and_lists_are_met() {
-    let fault = |name: &str, value: serde_json::Value| {
-        let mut told = settings();
+fn unusual_settings_and_host_lists_are_handled() {
+    let settings_error = |name: &str, value: serde_json::Value| {
+        let mut configuration = settings();
         let (group, key) = name.split_once('.').unwrap_or(("", name));
-        let map = if group.is_empty() { &mut told } else { &mut told[group] };
-        map[key] = value;
-        Router::new(told.as_object().unwrap(), 7).err().unwrap_or_else(|| "taken".into())
+        let section = if group.is_empty() { &mut configuration } else { &mut configuration[group] };
+        section[key] = value;
+        Router::new(configuration.as_object().unwrap(), 7).err().unwrap_or_else(|| "accepted".into())
     };
-    let faults = [
+    let cases = [
         ("my_zone", json!("edge")),
         ("my_zone", json!(9)),
         ("balancers", json!(0)),
@@ -468,31 +483,32 @@
         ("obligations.fall_multiple", json!(-3)),
         ("unknown", json!({"a": 1})),
     ];
-    let told = faults.map(|(name, value)| format!("{name} {value}: {}", fault(name, value.clone())));
-    let mut day = Day::new(settings());
-    day.trace.say("an emptied list, then one in reverse order");
-    day.list(ListUpdate::Full, &[]);
-    day.take(0, 1);
-    day.list(ListUpdate::Full, &(0..6).rev().map(entry).collect::<Vec<_>>());
-    day.take(0, 1);
-    day.trace.say("without parents the origin fills, with one cache it gets all");
-    day.list(ListUpdate::Full, &[entry(1), entry(ORIGIN)]);
-    day.take(0, 1);
-    assert_snapshot!(told.join("\n") + "\n" + &day.trace.lines);
+    let errors =
+        cases.map(|(name, value)| format!("{name} {value}: {}", settings_error(name, value.clone())));
+    let mut fixture = Day::new(settings());
+    fixture.trace.say("an empty list, then one in reverse order");
+    fixture.list(ListUpdate::Full, &[]);
+    fixture.take(0, 1);
+    fixture.list(ListUpdate::Full, &(0..6).rev().map(entry).collect::<Vec<_>>());
+    fixture.take(0, 1);
+    fixture.trace.say("without parents the origin fills; a single cache gets all GETs");
+    fixture.list(ListUpdate::Full, &[entry(1), entry(ORIGIN)]);
+    fixture.take(0, 1);
+    assert_snapshot!(errors.join("\n") + "\n" + &fixture.trace.lines);
 }
 
 #[test]
-fn a_location_of_many_caches_leaves_none_out() {
-    let mut day = Day::new(settings());
-    let many: Vec<_> =
+fn every_cache_of_a_large_location_receives_gets() {
+    let mut fixture = Day::new(settings());
+    let entries: Vec<_> =
         (6..206).map(|host| HostEntry { zone: 1, kind: 0, weight: 4.0, ..entry(host) }).collect();
-    day.list(ListUpdate::Changes, &many);
+    fixture.list(ListUpdate::Changes, &entries);
     for object in 0..4000 {
-        let get = day.take(1, object);
-        day.end(get, 0, End::Returned, Note::Hit, 50);
+        let get = fixture.take(1, object);
+        fixture.end(get, 0, End::Returned, Note::Hit, 50);
     }
-    let mut met = std::mem::take(&mut day.trace.sent);
-    met.sort_unstable();
-    met.dedup();
-    assert_eq!(met.len(), 203, "caches that were asked, of 203");
+    let mut used_caches = std::mem::take(&mut fixture.trace.sent);
+    used_caches.sort_unstable();
+    used_caches.dedup();
+    assert_eq!(used_caches.len(), 203, "caches that got a GET, of 203");
 }
