--- a/tests/ring.rs
+++ b/tests/ring.rs
@@ -1,4 +1,4 @@
-//! The walk along a ring, and what a request costs in hosts looked at and points visited, by the number of hosts.
+//! Walks along a ring, and the cost of a request in hosts examined and points visited, for fleets of different sizes.
 
 mod common;
 
@@ -12,68 +12,71 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// Caches of a fleet, and as many parents.
-const FLEETS: [usize; 5] = [8, 32, 100, 290, 2000];
-/// Hubs of the parents; the first is the router's own.
+/// Numbers of caches in a fleet, which has as many parents.
+const FLEET_SIZES: [usize; 5] = [8, 32, 100, 290, 2000];
+/// Number of hubs that hold the parents; the first one is the router's own.
 const HUBS: usize = 4;
-const EDGE: usize = HUBS;
+/// Zone of the caches, after the zones of the hubs.
+const EDGE_ZONE: usize = HUBS;
 const REQUESTS: u64 = 300;
-/// Walks of one request: two over the caches (the one that failed it last is left out, then let in); one over the parents
-/// of each hub, near and far, and one more over the near ones for a fill that waits.
+/// Largest number of walks over the caches for one request: without the cache that failed the request last, then with it.
 const CACHE_WALKS: u64 = 2;
+/// Largest number of walks over the parents for one request: one each over the near and the far parents, and one more over
+/// the near ones for a fill that waits.
 const PARENT_WALKS: u64 = 3;
-/// Ring points for each host that a walk may meet: 32 hosts of 32 take 130 points on the mean.
-const POINTS_A_HOST: u64 = 16;
-/// Outcomes by which a host is judged.
-const FAILURES: usize = 4;
+/// Ring points that a walk may visit for each host that it finds. Finding all of 32 hosts takes 130 points on average.
+const MAX_POINTS_PER_HOST: u64 = 16;
+/// Number of recent outcomes that decide whether a host has failed.
+const RECENT_OUTCOMES: usize = 4;
 
 fn member() -> impl Strategy<Value = RingMember> {
-    // Points are uneven, and a host may have none.
-    (any::<u64>(), 0..40u64, any::<bool>()).prop_map(|(mark, points, near)| RingMember {
+    // The numbers of points differ, and a host may have none.
+    (any::<u64>(), 0..40u64, any::<bool>()).prop_map(|(id_hash, points, is_near)| RingMember {
         host: 0,
-        id_hash: mark,
+        id_hash,
         points,
-        is_near: near,
+        is_near,
     })
 }
 
-fn fleet(most: usize) -> impl Strategy<Value = Vec<RingMember>> {
-    prop::collection::vec(member(), 0..most).prop_map(|mut members| {
+fn fleet(max_size: usize) -> impl Strategy<Value = Vec<RingMember>> {
+    prop::collection::vec(member(), 0..max_size).prop_map(|mut members| {
         members.iter_mut().enumerate().for_each(|(host, member)| member.host = host);
         members
     })
 }
 
-/// The members of one half in the order in which they follow `key`, by all their points.
-fn naive_walk(members: &[RingMember], key: u64, near: bool) -> Vec<HostIndex> {
-    let half = members.iter().filter(|member| member.is_near == near);
-    let mut points: Vec<_> =
-        half.flat_map(|m| (0..m.points).map(|i| (mix(m.id_hash ^ mix(i)), m.host))).collect();
+/// Reference implementation of a walk: the near or far members in the order in which their points follow `key`.
+fn reference_walk(members: &[RingMember], key: u64, is_near: bool) -> Vec<HostIndex> {
+    let selected = members.iter().filter(|member| member.is_near == is_near);
+    let mut points: Vec<_> = selected
+        .flat_map(|member| (0..member.points).map(|index| (mix(member.id_hash ^ mix(index)), member.host)))
+        .collect();
     points.sort_unstable();
-    let start = points.partition_point(|&(at, _)| at < key);
+    let start = points.partition_point(|&(position, _)| position < key);
     points = [&points[start..], &points[..start]].concat();
-    let mut met = BTreeSet::new();
-    points.into_iter().map(|(_, host)| host).filter(|&host| met.insert(host)).collect()
+    let mut found = BTreeSet::new();
+    points.into_iter().map(|(_, host)| host).filter(|&host| found.insert(host)).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn a_walk_meets_distinct_members_in_the_order_of_their_points(members in fleet(300), key in any::<u64>()) {
+    fn a_walk_finds_distinct_members_in_the_order_of_their_points(members in fleet(300), key in any::<u64>()) {
         let ring = Ring::build(members.iter().copied());
-        for near in [true, false] {
-            let walked: Vec<_> = ring.walk::<MAX_WALKED_HOSTS>(key, near).collect();
-            let mut naive = naive_walk(&members, key, near);
-            naive.truncate(MAX_WALKED_HOSTS);
-            prop_assert_eq!(walked, naive);
+        for is_near in [true, false] {
+            let walked: Vec<_> = ring.walk::<MAX_WALKED_HOSTS>(key, is_near).collect();
+            let mut expected = reference_walk(&members, key, is_near);
+            expected.truncate(MAX_WALKED_HOSTS);
+            prop_assert_eq!(walked, expected);
         }
     }
 }
 
 #[test]
-fn a_walk_ends_at_its_bound_or_with_the_last_member() {
-    for hosts in FLEETS {
+fn a_walk_ends_at_its_limit_or_after_the_last_member() {
+    for hosts in FLEET_SIZES {
         let members = (0..hosts).map(|host| RingMember {
             host,
             id_hash: hash_host_id(&format!("{host}")),
@@ -85,24 +88,28 @@
             let before = ring.walk_cost();
             let walked: Vec<_> = ring.walk::<MAX_WALKED_HOSTS>(mix(request), true).collect();
             let distinct: BTreeSet<_> = walked.iter().collect();
-            assert_eq!(distinct.len(), walked.len(), "a host twice, of {hosts}");
-            assert_eq!(walked.len(), hosts.min(MAX_WALKED_HOSTS), "of {hosts}");
+            assert_eq!(distinct.len(), walked.len(), "a walk over {hosts} hosts found a host twice");
+            assert_eq!(walked.len(), hosts.min(MAX_WALKED_HOSTS), "hosts found in a walk over {hosts}");
             let points = ring.walk_cost().points - before.points;
-            assert!(points <= POINTS_A_HOST * MAX_WALKED_HOSTS as u64, "{points} points, of {hosts} hosts");
+            assert!(
+                points <= MAX_POINTS_PER_HOST * MAX_WALKED_HOSTS as u64,
+                "a walk over {hosts} hosts visited {points} points"
+            );
             assert_eq!(ring.walk::<MAX_WALKED_HOSTS>(mix(request), false).count(), 0);
         }
     }
 }
 
+/// Which hosts of a fleet have failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Failed {
+enum FailedHosts {
     None,
     Half,
     All,
 }
 
-impl Failed {
-    fn holds(self, host: HostIndex) -> bool {
+impl FailedHosts {
+    fn contains(self, host: HostIndex) -> bool {
         match self {
             Self::None => false,
             Self::Half => mix(host as u64).is_multiple_of(2),
@@ -111,24 +118,24 @@
     }
 }
 
-/// A location with so many caches, as many parents over four hubs, and an origin.
-fn location(hosts: usize, failed: Failed) -> Day {
-    let mut facts = settings();
-    facts["zones"] = (0..=HUBS).map(|zone| format!("zone {zone}")).collect();
-    facts["my_zone"] = json!(EDGE);
-    facts["domain"]["hub_of"] = (0..HUBS).chain([0]).collect();
-    facts["domain"]["count_by_zone"] = json!([0, 0, 0, 0, 2]);
-    let mut day = Day::new(facts);
+/// Returns a location with `hosts` caches, as many parents in four hubs, and an origin.
+fn location(hosts: usize, failed: FailedHosts) -> Day {
+    let mut configuration = settings();
+    configuration["zones"] = (0..=HUBS).map(|zone| format!("zone {zone}")).collect();
+    configuration["my_zone"] = json!(EDGE_ZONE);
+    configuration["domain"]["hub_of"] = (0..HUBS).chain([0]).collect();
+    configuration["domain"]["count_by_zone"] = json!([0, 0, 0, 0, 2]);
+    let mut fixture = Day::new(configuration);
     let entry = |host: HostIndex| {
         let (kind, zone) = match host {
-            host if host < hosts => (0, EDGE),
+            host if host < hosts => (0, EDGE_ZONE),
             host if host < 2 * hosts => (1, host % HUBS),
             _ => (2, 0),
         };
-        let mark = hash_host_id(&format!("host {host}"));
+        let id_hash = hash_host_id(&format!("host {host}"));
         HostEntry {
             host,
-            id_hash: mark,
+            id_hash,
             status: HostStatus::Active,
             zone,
             kind,
@@ -136,84 +143,93 @@
             ..HostEntry::default()
         }
     };
-    day.list(ListUpdate::Full, &(0..=2 * hosts).map(entry).collect::<Vec<_>>());
-    day.round(|round| {
-        for host in (0..=2 * hosts).filter(|&host| failed.holds(host)) {
-            (0..FAILURES).for_each(|_| round.on_host_report(host, false));
+    fixture.list(ListUpdate::Full, &(0..=2 * hosts).map(entry).collect::<Vec<_>>());
+    fixture.round(|round| {
+        for host in (0..=2 * hosts).filter(|&host| failed.contains(host)) {
+            (0..RECENT_OUTCOMES).for_each(|_| round.on_host_report(host, false));
         }
     });
-    day
+    fixture
 }
 
-/// Takes a GET and ends its forward well; where that went, if anywhere.
-fn request(day: &mut Day, object: u64) -> Option<Forward> {
-    day.trace.last = None;
-    let place = day.take(0, object);
-    let forward = day.trace.last?;
-    day.end(place, 0, End::Returned, Note::Hit, 100);
+/// Takes a GET, returns it successfully if it is forwarded, and yields that forward.
+fn request(fixture: &mut Day, object: u64) -> Option<Forward> {
+    fixture.trace.last = None;
+    let get_index = fixture.take(0, object);
+    let forward = fixture.trace.last?;
+    fixture.end(get_index, 0, End::Returned, Note::Hit, 100);
     Some(forward)
 }
 
-fn since(now: WalkCost, before: WalkCost) -> WalkCost {
+fn cost_since(now: WalkCost, before: WalkCost) -> WalkCost {
     WalkCost { hosts: now.hosts - before.hosts, points: now.points - before.points }
 }
 
 #[test]
-fn a_request_looks_at_a_bounded_number_of_hosts_whatever_fails() {
-    for hosts in FLEETS {
-        for failed in [Failed::None, Failed::Half, Failed::All] {
-            let mut day = location(hosts, failed);
+fn a_request_examines_a_bounded_number_of_hosts_whichever_hosts_fail() {
+    for hosts in FLEET_SIZES {
+        for failed in [FailedHosts::None, FailedHosts::Half, FailedHosts::All] {
+            let mut fixture = location(hosts, failed);
             for object in 0..REQUESTS {
-                let before = day.router.walk_costs();
-                let forward = request(&mut day, object);
-                let [caches, parents] = day.router.walk_costs();
+                let before = fixture.router.walk_costs();
+                let forward = request(&mut fixture, object);
+                let [caches, parents] = fixture.router.walk_costs();
                 let case = format!("{hosts} caches, {failed:?} failed, object {object}");
-                let within = |cost: WalkCost, walks: u64| {
-                    let most = if failed == Failed::None { 1 } else { MAX_WALKED_HOSTS.min(hosts) as u64 };
-                    assert!(cost.hosts <= walks * most, "{cost:?} in {case}");
-                    assert!(cost.points <= walks * most * POINTS_A_HOST, "{cost:?} in {case}");
+                let check_cost = |cost: WalkCost, walks: u64| {
+                    let max_hosts =
+                        if failed == FailedHosts::None { 1 } else { MAX_WALKED_HOSTS.min(hosts) as u64 };
+                    assert!(cost.hosts <= walks * max_hosts, "too many hosts: {cost:?} with {case}");
+                    assert!(
+                        cost.points <= walks * max_hosts * MAX_POINTS_PER_HOST,
+                        "too many points: {cost:?} with {case}"
+                    );
                 };
-                within(since(caches, before[0]), CACHE_WALKS);
-                within(since(parents, before[1]), PARENT_WALKS);
-                // Where all have failed the origin is asked straight.
-                assert_eq!(forward.unwrap().host == 2 * hosts, failed == Failed::All, "{case}");
+                check_cost(cost_since(caches, before[0]), CACHE_WALKS);
+                check_cost(cost_since(parents, before[1]), PARENT_WALKS);
+                // If all hosts have failed, the GET goes directly to the origin.
+                assert_eq!(forward.unwrap().host == 2 * hosts, failed == FailedHosts::All, "{case}");
             }
         }
     }
 }
 
 #[test]
-fn a_key_has_a_cache_of_its_own_and_a_near_parent_while_half_of_the_hosts_fail() {
-    for hosts in FLEETS {
-        let mut day = location(hosts, Failed::Half);
-        let near = |host: HostIndex| host.is_multiple_of(HUBS);
-        let any_near = (hosts..2 * hosts).any(|host| near(host) && !Failed::Half.holds(host));
+fn a_key_gets_a_cache_and_a_near_parent_that_have_not_failed_while_half_of_the_hosts_fail() {
+    for hosts in FLEET_SIZES {
+        let mut fixture = location(hosts, FailedHosts::Half);
+        let is_near = |host: HostIndex| host.is_multiple_of(HUBS);
+        let has_near_parent =
+            (hosts..2 * hosts).any(|host| is_near(host) && !FailedHosts::Half.contains(host));
         for object in 0..REQUESTS {
-            let Forward { host, source, .. } = request(&mut day, object).unwrap();
-            assert!(host < hosts && !Failed::Half.holds(host));
-            assert!((hosts..2 * hosts).contains(&source) && !Failed::Half.holds(source));
-            assert_eq!(near(source), any_near, "{source} of {hosts}");
+            let Forward { host, source, .. } = request(&mut fixture, object).unwrap();
+            assert!(host < hosts && !FailedHosts::Half.contains(host));
+            assert!((hosts..2 * hosts).contains(&source) && !FailedHosts::Half.contains(source));
+            assert_eq!(is_near(source), has_near_parent, "fill from parent {source} with {hosts} caches");
         }
     }
 }
 
 #[test]
-fn a_follower_chooses_as_the_module_at_any_size() {
-    for hosts in FLEETS {
-        for failed in [Failed::None, Failed::Half, Failed::All] {
-            let mut day = location(hosts, failed);
-            let reading = day.router.routing_snapshot(day.now);
-            let (caches, parents) = (Tier::build(reading.caches), Tier::build(reading.parents));
-            let map = RoutingTable { caches, parents, ..RoutingTable::default() };
+fn a_routing_table_chooses_the_same_hosts_as_the_router_at_any_fleet_size() {
+    for hosts in FLEET_SIZES {
+        for failed in [FailedHosts::None, FailedHosts::Half, FailedHosts::All] {
+            let mut fixture = location(hosts, failed);
+            let snapshot = fixture.router.routing_snapshot(fixture.now);
+            let (caches, parents) = (Tier::build(snapshot.caches), Tier::build(snapshot.parents));
+            let table = RoutingTable { caches, parents, ..RoutingTable::default() };
             for object in 0..REQUESTS {
                 let key = ring_key(object, 0);
-                let chosen = map.cache(key, None).map(|share| share.host);
-                let source = map.source(key, None, |_| true);
-                let Forward { host, source: from, .. } = request(&mut day, object).unwrap();
-                // A module with no cache asks the origin straight; a follower has nowhere to go.
-                let cache = Some(host).filter(|_| failed != Failed::All);
-                let parent = Some((from, false)).filter(|_| failed != Failed::All);
-                assert_eq!((chosen, source), (cache, parent), "object {object} of {hosts}, {failed:?}");
+                let table_cache = table.cache(key, None).map(|share| share.host);
+                let table_source = table.source(key, None, |_| true);
+                let Forward { host, source, .. } = request(&mut fixture, object).unwrap();
+                // Without a usable cache the router forwards directly to the origin, and the table has no choice.
+                let cache = Some(host).filter(|_| failed != FailedHosts::All);
+                let parent = Some((source, false)).filter(|_| failed != FailedHosts::All);
+                assert_eq!(
+                    (table_cache, table_source),
+                    (cache, parent),
+                    "object {object}, {hosts} caches, {failed:?} failed"
+                );
             }
         }
     }
