--- a/crates/recovery/src/fill_limiter.rs
+++ b/crates/recovery/src/fill_limiter.rs
@@ -297,7 +297,7 @@
         self.last_cut_at.is_none_or(|at| now >= at + interval)
     }
 
-    /// Cuts the limit to a fraction of what is in use of it. A limit far above its use would admit an overload.
+    /// Cuts the limit to a fraction of the part that is in use. A limit far above its use would admit an overload.
     fn cut(&mut self, factor: f64, in_flight: f64, now: Duration) {
         let minimum = MINIMUM.share_of_one_router(self.sharers);
         let in_use = self.mean_in_flight(now).unwrap_or(in_flight + 1.0);
@@ -356,7 +356,7 @@
         assert_eq!(limiter().mean_in_flight(ms(1)), None);
     }
 
-    /// Two late fills cut the limit to a fraction of what is in use, however far above that the limit was.
+    /// Two late fills cut the limit to a fraction of the part in use, however large the limit was before.
     #[test]
     fn a_cut_starts_from_the_part_of_the_limit_in_use() {
         let (mut limiter, ms) = (limiter(), Duration::from_millis);
--- a/crates/recovery/src/slow_start.rs
+++ b/crates/recovery/src/slow_start.rs
@@ -33,11 +33,11 @@
 impl SlowStart {
     /// Admits a request of the given processing time if it fits into `share` now, and counts it if admitted.
     ///
-    /// If the slow start began after the last request, the bucket starts partly filled, in proportion to `phase` from 0 to
-    /// 1. Otherwise, routers whose share is smaller than one request would all send their first request at once. If the
-    /// slow start may predate this router's process, the bucket is filled as if this router had already sent a burst, since
-    /// its previous process may have done so and each restart would send another burst. The limit protects hosts that start
-    /// or return. It does harm when the neighboring hosts of the cold host are overloaded.
+    /// If the slow start began after the last request, the bucket starts partly filled, in proportion to `phase` (0 to 1).
+    /// Otherwise, routers whose share is smaller than one request would all send their first request at once. If the slow
+    /// start may predate this router's process, the bucket is filled as if this router had already sent a burst, since its
+    /// previous process may have done so and each restart would send another burst. The limit protects hosts that start or
+    /// return. It does harm when the neighboring hosts of the cold host are overloaded.
     pub fn admits(
         &mut self,
         work_s: f64,
--- a/crates/recovery/src/staleness_decay.rs
+++ b/crates/recovery/src/staleness_decay.rs
@@ -9,7 +9,8 @@
 
 /// Shortest time over which the accepted age is lowered: the window over which the busy flag is computed.
 const MIN_DECAY: Duration = Duration::from_millis(5000);
-/// Makes the order in which keys are lowered independent of the order in which a cold host receives keys.
+/// Makes the order in which the accepted ages of keys are lowered independent of the order in which a cold host receives
+/// keys.
 const ORDER_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Accepted age of one delivery service while the origin is busy and afterwards.
@@ -39,9 +40,9 @@
 
     /// Age up to which copies of a key are accepted.
     ///
-    /// Keys are lowered in the same order at every router, so a renewal requested by one router serves all of them. The
-    /// decay protects the origin from renewing at once all copies that became stale while it was busy. Its cost: copies of
-    /// some keys are accepted past their fresh time, for one more fresh time.
+    /// Every router lowers the accepted ages of keys in the same order, so a renewal requested by one router serves all of
+    /// them. The decay protects the origin from renewing at once all copies that became stale while it was busy. Its cost:
+    /// copies of some keys are accepted past their fresh time, for one more fresh time.
     pub fn accepted_age(&self, key: u64, fresh_time: Duration, now: Duration) -> Duration {
         let Some(since) = self.decaying_since else { return self.raised_accepted_age.max(fresh_time) };
         let progress = now.saturating_sub(since).div_duration_f64(fresh_time.max(MIN_DECAY));
--- a/tests/generated.rs
+++ b/tests/generated.rs
@@ -1,7 +1,8 @@
-//! Drawn orders of what the other sides do, on real sockets, and what must hold after each step: one answer at most, and
-//! exactly one for whoever waits; nothing begun for who has left, nothing at a drained host past its grace; GETs taken are
-//! answered, abandoned or in hand (asserted by the dispatcher itself in debug builds); at the end no descriptor and no byte
-//! is left.
+//! Random sequences of steps by clients, hosts and the change log on real sockets. Invariants checked after each step:
+//! - a client gets at most one answer to a GET, and exactly one if it waits for it;
+//! - no forward is sent for a client that has left, and none to a draining host after the grace time of the drain;
+//! - each GET taken is answered, abandoned or in flight (asserted by the dispatcher itself in debug builds);
+//! - at the end the dispatcher holds no client connection and no buffered byte.
 
 mod common;
 
@@ -13,32 +14,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// A drain is obeyed by then, by the platform, with its slack.
+/// Time within which the platform requires a drain to take effect, with a margin.
 const DRAIN_GRACE_MS: u64 = 300;
 
+/// One action of a client, of a host or of the change log.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A client asks: which one, a service, an object.
-    Ask(usize, usize, u8),
-    /// The same, and calls it off in the same breath.
-    AskAndAbort(usize, u8),
-    /// Half of a request, and the rest of the last half.
-    Half(usize, u8),
+    /// A client sends a GET: the client, the delivery service and the object.
+    SendGet(usize, usize, u8),
+    /// A client sends a GET and aborts it in the same write.
+    SendAndAbort(usize, u8),
+    /// A client sends the beginning of a GET, or the rest of one that it has begun.
+    SendHalf(usize, u8),
     Abort(usize),
-    HangUp(usize),
-    Reset(usize),
-    /// A host answers the oldest that it has read: whole, in two pieces, or twice.
-    Answer(usize, Way),
-    Stray(usize),
-    Spoil(usize),
+    CloseClient(usize),
+    ResetClient(usize),
+    /// A host answers the oldest command that it has read and not answered.
+    Answer(usize, ResponseMode),
+    /// A host sends a response to no command.
+    SendUnrequested(usize),
+    /// A host sends bytes that are not a valid response.
+    SendMalformed(usize),
     CloseHost(usize),
-    Hang(usize, bool),
+    /// A host stops reading, or reads again.
+    SetHanging(usize, bool),
+    /// The change log lists a host as draining.
     Drain(usize),
+    /// Time passes, in milliseconds.
     Wait(u8),
 }
 
+/// How a host answers a command.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum ResponseMode {
     Whole,
     InPieces,
     Twice,
@@ -47,130 +55,147 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let way = prop_oneof![
-        4 => Just(Way::Whole), 1 => Just(Way::InPieces), 1 => Just(Way::Twice), 1 => Just(Way::Full), 1 => Just(Way::Miss)
+    let mode = prop_oneof![
+        4 => Just(ResponseMode::Whole),
+        1 => Just(ResponseMode::InPieces),
+        1 => Just(ResponseMode::Twice),
+        1 => Just(ResponseMode::Full),
+        1 => Just(ResponseMode::Miss),
     ];
     prop_oneof![
-        8 => (0..3usize, 0..4usize, 0..8u8).prop_map(|(c, s, o)| Step::Ask(c, s, o)),
-        2 => (0..3usize, 0..8u8).prop_map(|(c, o)| Step::AskAndAbort(c, o)),
-        1 => (0..3usize, 0..8u8).prop_map(|(c, o)| Step::Half(c, o)),
+        8 => (0..3usize, 0..4usize, 0..8u8)
+            .prop_map(|(client, service, object)| Step::SendGet(client, service, object)),
+        2 => (0..3usize, 0..8u8).prop_map(|(client, object)| Step::SendAndAbort(client, object)),
+        1 => (0..3usize, 0..8u8).prop_map(|(client, object)| Step::SendHalf(client, object)),
         2 => (0..3usize).prop_map(Step::Abort),
-        1 => (0..3usize).prop_map(Step::HangUp),
-        1 => (0..3usize).prop_map(Step::Reset),
-        8 => (0..HOSTS.len(), way).prop_map(|(h, w)| Step::Answer(h, w)),
-        1 => (0..HOSTS.len()).prop_map(Step::Stray),
-        1 => (0..HOSTS.len()).prop_map(Step::Spoil),
+        1 => (0..3usize).prop_map(Step::CloseClient),
+        1 => (0..3usize).prop_map(Step::ResetClient),
+        8 => (0..HOSTS.len(), mode).prop_map(|(host, mode)| Step::Answer(host, mode)),
+        1 => (0..HOSTS.len()).prop_map(Step::SendUnrequested),
+        1 => (0..HOSTS.len()).prop_map(Step::SendMalformed),
         1 => (0..HOSTS.len()).prop_map(Step::CloseHost),
-        1 => (0..HOSTS.len(), any::<bool>()).prop_map(|(h, on)| Step::Hang(h, on)),
+        1 => (0..HOSTS.len(), any::<bool>())
+            .prop_map(|(host, is_hanging)| Step::SetHanging(host, is_hanging)),
         1 => (0..3usize).prop_map(Step::Drain),
         6 => (0..20u8).prop_map(Step::Wait),
     ]
 }
 
-/// What a client has written and not heard the end of, and what it gave up.
+/// A client connection and its unfinished GETs.
 #[derive(Default)]
-struct Asker {
-    client: usize,
-    waits: BTreeSet<u16>,
-    half: Option<(u16, Vec<u8>)>,
-    gone: bool,
+struct TestClient {
+    /// Index of the connection in the rig.
+    connection: usize,
+    /// Ids of the GETs that have no answer yet.
+    pending: BTreeSet<u16>,
+    /// Id and remaining bytes of a GET that is partly sent.
+    partial: Option<(u16, Vec<u8>)>,
+    is_closed: bool,
 }
 
-struct Play {
+/// A rig together with the state that the invariants are checked against.
+struct Scenario {
     rig: Rig,
-    askers: Vec<Asker>,
-    /// By id: when nobody waited for it any more.
-    left: BTreeMap<u16, Instant>,
-    number: u16,
-    seen: usize,
-    drained: BTreeMap<String, Instant>,
+    clients: Vec<TestClient>,
+    /// Time at which each GET was abandoned by its client, by id.
+    abandoned_at: BTreeMap<u16, Instant>,
+    last_id: u16,
+    /// Number of trace lines checked so far.
+    checked_lines: usize,
+    /// Time at which each draining host was listed as draining.
+    drained_at: BTreeMap<String, Instant>,
+    /// Sequence number of the last change.
     seq: u64,
-    /// Ids that each host has read and not answered.
-    owed: BTreeMap<String, Vec<u16>>,
+    /// Ids of the commands that each host has read and not answered.
+    unanswered: BTreeMap<String, Vec<u16>>,
 }
 
 const SERVICES: [&str; 4] = ["video", "photo", "confirm", "order"];
 
-fn written(number: u16, service: usize, object: u8) -> Vec<u8> {
+fn encode_get(id: u16, service: usize, object: u8) -> Vec<u8> {
     let object = format!("{object:016x}");
-    asked(number, SERVICES[service], &[("HTTP_BUDGET_MS", "400"), ("HTTP_RESOURCE_KEY", &object)], b"")
+    asked(id, SERVICES[service], &[("HTTP_BUDGET_MS", "400"), ("HTTP_RESOURCE_KEY", &object)], b"")
 }
 
-impl Play {
+impl Scenario {
     fn new() -> Self {
         let mut rig = Rig::with(settings(), Room { descriptors: 1024, memory: 192 << 20 });
-        let askers = (0..3).map(|_| Asker { client: rig.client(), ..Asker::default() }).collect();
-        let (left, drained, owed) = Default::default();
-        Self { rig, askers, left, number: 0, seen: 0, drained, seq: 1, owed }
+        let clients =
+            (0..3).map(|_| TestClient { connection: rig.client(), ..TestClient::default() }).collect();
+        let (abandoned_at, drained_at, unanswered) = Default::default();
+        Self { rig, clients, abandoned_at, last_id: 0, checked_lines: 0, drained_at, seq: 1, unanswered }
     }
 
-    fn asker(&mut self, at: usize) -> &mut Asker {
-        if self.askers[at].gone {
-            self.askers[at] = Asker { client: self.rig.client(), ..Asker::default() };
+    /// Returns a client, on a new connection if its previous one is closed.
+    fn open_client(&mut self, client: usize) -> &mut TestClient {
+        if self.clients[client].is_closed {
+            self.clients[client] = TestClient { connection: self.rig.client(), ..TestClient::default() };
         }
-        &mut self.askers[at]
+        &mut self.clients[client]
     }
 
-    fn leave(&mut self, at: usize) {
-        let asker = &mut self.askers[at];
-        asker.gone = true;
+    /// Records that the connection of a client is closed and that its GETs are abandoned.
+    fn mark_closed(&mut self, client: usize) {
+        let client = &mut self.clients[client];
+        client.is_closed = true;
         let now = Instant::now();
-        self.left.extend(std::mem::take(&mut asker.waits).into_iter().map(|id| (id, now)));
+        self.abandoned_at.extend(std::mem::take(&mut client.pending).into_iter().map(|id| (id, now)));
     }
 
-    fn does(&mut self, step: &Step) -> Result<(), TestCaseError> {
+    /// Performs a step, then checks the trace.
+    fn apply(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
-            Step::Ask(at, service, object) => {
-                self.number += 1;
-                let (number, bytes) = (self.number, written(self.number, service, object));
-                let client = self.asker(at).client;
-                self.askers[at].waits.insert(number);
-                self.rig.write(client, &bytes);
+            Step::SendGet(client, service, object) => {
+                self.last_id += 1;
+                let (id, bytes) = (self.last_id, encode_get(self.last_id, service, object));
+                let connection = self.open_client(client).connection;
+                self.clients[client].pending.insert(id);
+                self.rig.write(connection, &bytes);
             }
-            Step::AskAndAbort(at, object) => {
-                self.number += 1;
-                let number = self.number;
-                let client = self.asker(at).client;
-                self.left.insert(number, Instant::now());
-                self.rig.write(client, &[written(number, 0, object), record(2, number, b"")].concat());
+            Step::SendAndAbort(client, object) => {
+                self.last_id += 1;
+                let id = self.last_id;
+                let connection = self.open_client(client).connection;
+                self.abandoned_at.insert(id, Instant::now());
+                self.rig.write(connection, &[encode_get(id, 0, object), record(2, id, b"")].concat());
             }
-            Step::Half(at, object) => {
-                self.number += 1;
-                let number = self.number;
-                let client = self.asker(at).client;
-                let whole = written(number, 1, object);
-                let earlier = self.askers[at].half.take();
-                if let Some((earlier, rest)) = earlier {
-                    self.askers[at].waits.insert(earlier);
-                    self.rig.write(client, &rest);
+            Step::SendHalf(client, object) => {
+                self.last_id += 1;
+                let id = self.last_id;
+                let connection = self.open_client(client).connection;
+                let bytes = encode_get(id, 1, object);
+                let begun = self.clients[client].partial.take();
+                if let Some((begun_id, rest)) = begun {
+                    self.clients[client].pending.insert(begun_id);
+                    self.rig.write(connection, &rest);
                 } else {
-                    // A whole record and no more, so that others may come between.
-                    let cut = whole.len() - 11;
-                    self.askers[at].half = Some((number, whole[cut..].to_vec()));
-                    self.rig.write(client, &whole[..cut]);
+                    // The cut is at the end of a record, so that records of other GETs may follow.
+                    let cut = bytes.len() - 11;
+                    self.clients[client].partial = Some((id, bytes[cut..].to_vec()));
+                    self.rig.write(connection, &bytes[..cut]);
                 }
             }
-            Step::Abort(at) => {
-                if let Some(number) = self.askers[at].waits.pop_first() {
-                    self.left.insert(number, Instant::now());
-                    let client = self.askers[at].client;
-                    self.rig.write(client, &record(2, number, b""));
+            Step::Abort(client) => {
+                if let Some(id) = self.clients[client].pending.pop_first() {
+                    self.abandoned_at.insert(id, Instant::now());
+                    let connection = self.clients[client].connection;
+                    self.rig.write(connection, &record(2, id, b""));
                 }
             }
-            Step::HangUp(at) | Step::Reset(at) if !self.askers[at].gone => {
-                let client = self.askers[at].client;
-                if matches!(step, Step::Reset(_)) {
-                    self.rig.reset(client)
+            Step::CloseClient(client) | Step::ResetClient(client) if !self.clients[client].is_closed => {
+                let connection = self.clients[client].connection;
+                if matches!(step, Step::ResetClient(_)) {
+                    self.rig.reset(connection)
                 } else {
-                    self.rig.hang_up(client)
+                    self.rig.hang_up(connection)
                 }
-                self.leave(at);
+                self.mark_closed(client);
             }
-            Step::HangUp(_) | Step::Reset(_) => {}
-            Step::Answer(host, way) => {
+            Step::CloseClient(_) | Step::ResetClient(_) => {}
+            Step::Answer(host, mode) => {
                 let host = HOSTS[host];
                 let Some(id) =
-                    self.owed.get_mut(host).and_then(|ids| (!ids.is_empty()).then(|| ids.remove(0)))
+                    self.unanswered.get_mut(host).and_then(|ids| (!ids.is_empty()).then(|| ids.remove(0)))
                 else {
                     return Ok(());
                 };
@@ -178,121 +203,140 @@
                 if self.rig.streams_of(host) == 0 {
                     return Ok(());
                 }
-                match way {
-                    Way::Whole => self.rig.answer(id, "200", "why=TCP_HIT", "the bytes"),
-                    Way::Twice => (0..2).for_each(|_| self.rig.answer(id, "200", "why=TCP_HIT", "the bytes")),
-                    Way::Full => self.rig.answer(id, "503", "-", ""),
-                    Way::Miss => self.rig.answer(id, "404", "why=PEER_MISS", ""),
-                    Way::InPieces => {
+                match mode {
+                    ResponseMode::Whole => self.rig.answer(id, "200", "why=TCP_HIT", "the bytes"),
+                    ResponseMode::Twice => {
+                        (0..2).for_each(|_| self.rig.answer(id, "200", "why=TCP_HIT", "the bytes"))
+                    }
+                    ResponseMode::Full => self.rig.answer(id, "503", "-", ""),
+                    ResponseMode::Miss => self.rig.answer(id, "404", "why=PEER_MISS", ""),
+                    ResponseMode::InPieces => {
                         self.rig.answer(id, "200", "why=TCP_HIT", "the bytes");
                         self.rig.in_pieces(host);
                     }
                 }
             }
-            Step::Stray(host) if self.rig.streams_of(HOSTS[host]) > 0 => {
+            Step::SendUnrequested(host) if self.rig.streams_of(HOSTS[host]) > 0 => {
                 self.rig.last = HOSTS[host].to_owned();
-                self.rig.answer(60_000, "200", "why=TCP_HIT", "nobody's");
+                self.rig.answer(60_000, "200", "why=TCP_HIT", "unrequested");
             }
-            Step::Spoil(host) if self.rig.streams_of(HOSTS[host]) > 0 => {
+            Step::SendMalformed(host) if self.rig.streams_of(HOSTS[host]) > 0 => {
                 self.rig.last = HOSTS[host].to_owned();
                 self.rig.raw(b"?");
             }
-            Step::Stray(_) | Step::Spoil(_) => {}
+            Step::SendUnrequested(_) | Step::SendMalformed(_) => {}
             Step::CloseHost(host) => {
                 self.rig.close(HOSTS[host], false);
-                self.owed.remove(HOSTS[host]);
+                self.unanswered.remove(HOSTS[host]);
             }
-            Step::Hang(host, on) => self.rig.hang(HOSTS[host], on),
+            Step::SetHanging(host, is_hanging) => self.rig.hang(HOSTS[host], is_hanging),
             Step::Drain(host) => {
-                // One of the three stays.
-                if self.drained.len() < 2 && !self.drained.contains_key(HOSTS[host]) {
+                // At least one of the three caches stays active.
+                if self.drained_at.len() < 2 && !self.drained_at.contains_key(HOSTS[host]) {
                     self.seq += 1;
-                    let line = json!({"name": HOSTS[host], "status": "leaving"});
-                    let told = json!({"seq": self.seq, "fleet": {"endpoints": [line]}});
-                    self.rig.changes(&json!({"seq": self.seq, "results": [told]}).to_string());
-                    self.drained.insert(HOSTS[host].to_owned(), Instant::now());
+                    let entry = json!({"name": HOSTS[host], "status": "leaving"});
+                    let change = json!({"seq": self.seq, "fleet": {"endpoints": [entry]}});
+                    self.rig.changes(&json!({"seq": self.seq, "results": [change]}).to_string());
+                    self.drained_at.insert(HOSTS[host].to_owned(), Instant::now());
                 }
             }
-            Step::Wait(span) => self.rig.settle(u64::from(span)),
+            Step::Wait(wait_ms) => self.rig.settle(u64::from(wait_ms)),
         }
         self.rig.turn();
-        self.look()
+        self.check_trace()
     }
 
-    /// What was read since the last look, against what may be.
-    fn look(&mut self) -> Result<(), TestCaseError> {
-        let lines: Vec<String> = self.rig.trace.lines().skip(self.seen).map(str::to_owned).collect();
-        self.seen += lines.len();
+    /// Checks the trace lines added since the last check against the invariants.
+    fn check_trace(&mut self) -> Result<(), TestCaseError> {
+        let lines: Vec<String> = self.rig.trace.lines().skip(self.checked_lines).map(str::to_owned).collect();
+        self.checked_lines += lines.len();
         for line in lines {
-            if let Some((who, rest)) = line.split_once(" reads serve ") {
+            if let Some((host, rest)) = line.split_once(" reads serve ") {
                 let id = u16::from_str_radix(&rest[..16], 16).unwrap();
-                self.owed.entry(who.to_owned()).or_default().push(id);
-                if !self.rig.is_hanging(who) {
-                    let late = self.left.get(&id).filter(|at| at.elapsed() > ms(100));
-                    prop_assert!(late.is_none(), "{line}, whose client has left\n{}", self.rig.trace);
-                    let late = self.drained.get(who).filter(|at| at.elapsed() > ms(DRAIN_GRACE_MS));
-                    prop_assert!(late.is_none(), "{line}, which drains\n{}", self.rig.trace);
+                self.unanswered.entry(host.to_owned()).or_default().push(id);
+                if !self.rig.is_hanging(host) {
+                    let abandoned = self.abandoned_at.get(&id).filter(|at| at.elapsed() > ms(100));
+                    prop_assert!(
+                        abandoned.is_none(),
+                        "{line}: forward for an abandoned GET\n{}",
+                        self.rig.trace
+                    );
+                    let draining = self.drained_at.get(host).filter(|at| at.elapsed() > ms(DRAIN_GRACE_MS));
+                    prop_assert!(
+                        draining.is_none(),
+                        "{line}: forward to a draining host\n{}",
+                        self.rig.trace
+                    );
                 }
-            } else if let Some((who, rest)) =
-                line.strip_prefix("client ").and_then(|l| l.split_once(" reads "))
+            } else if let Some((connection, rest)) =
+                line.strip_prefix("client ").and_then(|text| text.split_once(" reads "))
             {
-                let number: u16 = rest.split(':').next().unwrap().parse().unwrap();
-                let client: usize = who.parse().unwrap();
-                let waited = self.askers.iter_mut().any(|a| a.client == client && a.waits.remove(&number));
-                let over = self.left.contains_key(&number);
-                prop_assert!(waited || over, "{line}: a second answer\n{}", self.rig.trace);
+                let id: u16 = rest.split(':').next().unwrap().parse().unwrap();
+                let connection: usize = connection.parse().unwrap();
+                let is_expected = self
+                    .clients
+                    .iter_mut()
+                    .any(|client| client.connection == connection && client.pending.remove(&id));
+                let is_abandoned = self.abandoned_at.contains_key(&id);
+                prop_assert!(is_expected || is_abandoned, "{line}: a second answer\n{}", self.rig.trace);
             }
         }
         Ok(())
     }
 
-    /// All that wait are answered by their deadline; asked to end, it ends, and nothing is left.
-    fn ends(&mut self) -> Result<(), TestCaseError> {
-        // What lay at a host that did not read is read now, and was there before.
+    /// Checks that all pending GETs are answered by their deadline, and that the dispatcher stops and holds nothing then.
+    fn check_end(&mut self) -> Result<(), TestCaseError> {
+        // Hosts that were hanging now read the commands that were sent before.
         for host in HOSTS {
             self.rig.hang(host, false);
         }
         self.rig.settle(20);
-        self.look()?;
+        self.check_trace()?;
         self.rig.settle(430);
-        self.look()?;
-        for asker in &self.askers {
-            prop_assert!(asker.waits.is_empty(), "{:?} have no answer\n{}", asker.waits, self.rig.trace);
+        self.check_trace()?;
+        for client in &self.clients {
+            prop_assert!(
+                client.pending.is_empty(),
+                "GETs {:?} have no answer\n{}",
+                client.pending,
+                self.rig.trace
+            );
         }
         self.rig.dispatcher.stop();
         let start = Instant::now();
         while !self.rig.dispatcher.is_done() && start.elapsed() < ms(3700) {
             self.rig.turn();
         }
-        prop_assert!(self.rig.dispatcher.is_done(), "{}", self.rig.trace);
+        prop_assert!(self.rig.dispatcher.is_done(), "the dispatcher did not stop\n{}", self.rig.trace);
         prop_assert_eq!((self.rig.dispatcher.buffered(), self.rig.dispatcher.clients()), (0, 0));
         Ok(())
     }
 }
 
-/// The same orders at each run; `GENERATED_SEED` draws others, `GENERATED_CASES` more of them.
+/// The steps are the same in each run. `GENERATED_SEED` selects other sequences, and `GENERATED_CASES` sets their number.
 #[test]
-fn whatever_the_order_each_waiting_client_has_one_answer() {
-    let told =
-        |name: &str, unset: u64| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(unset);
+fn each_waiting_client_gets_one_answer_for_any_order_of_steps() {
+    let variable = |name: &str, default: u64| {
+        std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
+    };
     let mut seed = [7; 32];
-    seed[..8].copy_from_slice(&told("GENERATED_SEED", 7).to_le_bytes());
+    seed[..8].copy_from_slice(&variable("GENERATED_SEED", 7).to_le_bytes());
     let config = Config {
-        cases: told("GENERATED_CASES", 16) as u32,
+        cases: variable("GENERATED_CASES", 16) as u32,
         max_shrink_iters: 60,
         failure_persistence: None,
         ..Config::default()
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed);
     let steps = proptest::collection::vec(step(), 20..70);
-    let held = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
-        let mut play = Play::new();
+    let result = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
+        let mut scenario = Scenario::new();
         for step in &steps {
-            play.does(step)?;
+            scenario.apply(step)?;
         }
-        play.ends()
+        scenario.check_end()
     });
-    if let Err(broken) = held {
-        panic!("{broken}");
+    if let Err(failure) = result {
+        panic!("{failure}");
     }
 }
