--- a/crates/wire/src/change_log_client.rs
+++ b/crates/wire/src/change_log_client.rs
@@ -8,56 +8,61 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long an answer may wait for news: short, for a connection gone silent tells nothing, and what is in the
-/// change log counts as told.
-const WAIT: Duration = Duration::from_millis(500);
-/// The same for the first poll, and after a gap.
-const AT_ONCE: Duration = Duration::from_millis(1);
-/// After this much more the connection is given up. What trickles does not put it off; but while an answer has begun and
-/// is not whole in time, the next has twice as long, for a slow way there is not a silent one.
-const PATIENCE: Duration = Duration::from_millis(250);
-/// The most of that: the longest that the page has an answer wait.
-const PATIENCE_MOST: Duration = Duration::from_millis(5000);
-/// A connection that does not come up is tried beside by another after this: a change log that was away, and has news as it
-/// comes back, is found under half a second later. It hurts by a word from each dispatcher in that time while it is away.
-const DIAL_AGAIN: Duration = Duration::from_millis(400);
-/// And stays until this, so that four are tried at once: the system asks a second time after 1 s where the first word was
-/// lost, and a slow way takes half as long more.
-const DIAL_MOST: Duration = Duration::from_millis(1600);
-/// Pause after a loss or an answer that brought nothing too soon: no flood, and far under any grace on drains.
-const AGAIN: Duration = Duration::from_millis(50);
+/// How long the change log may hold back an answer while it has no new events. Short, because a connection that has gone
+/// silent delivers nothing, while an event counts as known as soon as it is in the change log.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(500);
+/// The wait of the first poll and of a poll after a gap, which are to be answered immediately.
+const IMMEDIATE_POLL_WAIT: Duration = Duration::from_millis(1);
+/// Time beyond the wait after which a poll times out and its connection is closed. An answer that trickles in does not
+/// extend it. If an answer is incomplete at the timeout, the next poll has twice as long, because a slow network path is
+/// not a silent change log.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+/// Upper limit of the doubled answer timeout: the longest wait for an answer that the protocol page specifies.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(5000);
+/// Interval after which another connection attempt starts beside those that are pending. A change log that comes back with
+/// new events is therefore reached in under half a second. While it is down, each dispatcher sends one connection request
+/// per interval.
+const CONNECT_INTERVAL: Duration = Duration::from_millis(400);
+/// Time after which a pending connection attempt is dropped, so that up to four are pending at once. The operating system
+/// repeats a lost connection request after 1 s, and a slow network path takes half as long again.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Pause after a lost connection, or after an empty answer that came early. It prevents a flood of polls and is far below
+/// any grace for drains.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Bytes read from the change log in one turn.
-const READ_MOST: usize = 256 * 1024;
+/// Limit of the bytes read from the change log in one iteration of the event loop.
+const MAX_READ_BYTES: usize = 256 * 1024;
 
 /// Long-poll client of the change log, with the sequence number of the last applied event.
 pub struct ChangeLogClient<O: ReadinessHandler> {
     address: SocketAddr,
     host: String,
-    /// How the owner knows that it was ready.
+    /// The key under which the handler is notified.
     key: O::Key,
     connection: Option<Connection<O>>,
-    /// Those that have not come up, oldest first, with when each was tried; none where one is up.
-    dials: VecDeque<(Duration, Connection<O>)>,
-    /// All dials failed since the last look.
-    refused: bool,
-    patience: Duration,
-    asked: bool,
-    asked_at: Duration,
+    /// Pending connection attempts with their start times, oldest first. Empty while a connection is established.
+    connect_attempts: VecDeque<(Duration, Connection<O>)>,
+    /// All pending connection attempts have failed.
+    has_connect_failed: bool,
+    /// The current answer timeout, beyond the wait of the poll.
+    answer_timeout: Duration,
+    /// A poll is outstanding.
+    is_pending: bool,
+    polled_at: Duration,
     /// When [`ChangeLogClient::poll_if_due`] has to act next: to time out, to reconnect or to poll again.
     pub deadline: Duration,
-    /// The other side has closed; what came before may still be a whole answer.
-    ended: bool,
+    /// The peer has closed the connection. The bytes received before may still be a complete answer.
+    is_peer_closed: bool,
     /// The sequence number of the last accepted event.
     pub last_seq: u64,
-    /// Each new connection asks for the last event once more.
-    overlaps: bool,
-    /// Nothing was asked on this connection yet.
+    /// The first poll on each new connection requests the last event once more.
+    has_overlap: bool,
+    /// Nothing was polled on this connection yet.
     is_new: bool,
-    /// An event that was refused once, because those before it were missing.
+    /// Sequence number of an event that was rejected once because the events before it were missing.
     retried_gap_seq: u64,
-    /// The next poll is answered at once: what is known has to be whole before it is used.
-    answers_at_once: bool,
+    /// The next poll requests an immediate answer, because the known state must be complete before it is used.
+    polls_immediately: bool,
 }
 
 /// Result of checking the sequence number of an event against the last accepted one.
@@ -81,25 +86,25 @@
             host: address.to_string(),
             key,
             connection: None,
-            dials: VecDeque::new(),
-            refused: false,
-            patience: PATIENCE,
-            asked: false,
-            asked_at: Duration::ZERO,
+            connect_attempts: VecDeque::new(),
+            has_connect_failed: false,
+            answer_timeout: ANSWER_TIMEOUT,
+            is_pending: false,
+            polled_at: Duration::ZERO,
             deadline: Duration::ZERO,
-            ended: false,
+            is_peer_closed: false,
             last_seq: 0,
-            overlaps: false,
+            has_overlap: false,
             is_new: false,
             retried_gap_seq: 0,
-            answers_at_once: true,
+            polls_immediately: true,
         }
     }
 
     /// Requests the last event once more on each new connection. By this event the caller can recognize a change log that
     /// restarted while the connection was lost and has reached the same sequence number again.
     pub fn with_overlap(mut self) -> Self {
-        self.overlaps = true;
+        self.has_overlap = true;
         self
     }
 
@@ -111,16 +116,16 @@
     }
 
     /// Checks the sequence number of an event, and advances to it if the event is to be applied.
-    pub fn accept(&mut self, number: u64, now: Duration) -> SequenceCheck {
+    pub fn accept(&mut self, seq: u64, now: Duration) -> SequenceCheck {
         let last = self.last_seq;
-        if number <= last {
+        if seq <= last {
             return SequenceCheck::Duplicate;
         }
-        let gap = number != last + 1;
-        if gap && !self.takes_beyond(number, now) {
+        let gap = seq != last + 1;
+        if gap && !self.accepts_after_gap(seq, now) {
             return SequenceCheck::GapRetried(last);
         }
-        self.last_seq = number;
+        self.last_seq = seq;
         if gap { SequenceCheck::GapAccepted(last) } else { SequenceCheck::Next }
     }
 
@@ -131,39 +136,46 @@
         self.deadline = now;
     }
 
-    /// Whether an event that others should come before is taken: at the start. Later not at first, for those are
-    /// asked for again on a new connection; then it is, for the change log no longer has them.
-    fn takes_beyond(&mut self, number: u64, now: Duration) -> bool {
-        let again =
-            self.connection.is_none() || std::mem::replace(&mut self.retried_gap_seq, number) == number;
-        if !again {
+    /// Whether an event is accepted although events before it are missing. At the start it is. Later it is rejected the
+    /// first time, and the missing events are requested again on a new connection. The second time it is accepted, because
+    /// the change log no longer has the missing events.
+    fn accepts_after_gap(&mut self, seq: u64, now: Duration) -> bool {
+        let is_accepted =
+            self.connection.is_none() || std::mem::replace(&mut self.retried_gap_seq, seq) == seq;
+        if !is_accepted {
             self.disconnect(now);
         }
-        again
+        is_accepted
     }
 
-    /// Sends a poll if none is outstanding, and gives up one that is overdue. Returns whether a poll was lost.
+    /// Sends a poll if none is outstanding, and cancels one that is overdue. Returns whether a poll was lost.
     pub fn poll_if_due(
         &mut self,
-        hub: &EventLoopHandle<O>,
-        accounts: &Rc<ResourceUsage>,
+        event_loop: &EventLoopHandle<O>,
+        resource_usage: &Rc<ResourceUsage>,
         now: Duration,
     ) -> bool {
-        let overdue = now >= self.deadline && (self.asked || !self.dials.is_empty());
-        if self.asked && overdue {
-            let part = self.connection.as_ref().is_some_and(|connection| connection.unparsed_bytes() > 0);
-            self.patience = if part { (self.patience * 2).min(PATIENCE_MOST) } else { PATIENCE };
+        let overdue = now >= self.deadline && (self.is_pending || !self.connect_attempts.is_empty());
+        if self.is_pending && overdue {
+            let is_partial =
+                self.connection.as_ref().is_some_and(|connection| connection.unparsed_bytes() > 0);
+            self.answer_timeout =
+                if is_partial { (self.answer_timeout * 2).min(MAX_ANSWER_TIMEOUT) } else { ANSWER_TIMEOUT };
             self.disconnect(now);
         }
-        if now < self.deadline || self.asked {
+        if now < self.deadline || self.is_pending {
             return overdue;
         }
-        let Some(connection) = &mut self.connection else { return self.dial(hub, accounts, now) || overdue };
-        let wait = if std::mem::take(&mut self.answers_at_once) { AT_ONCE } else { WAIT };
+        let Some(connection) = &mut self.connection else {
+            return self.start_connect(event_loop, resource_usage, now) || overdue;
+        };
+        let wait =
+            if std::mem::take(&mut self.polls_immediately) { IMMEDIATE_POLL_WAIT } else { LONG_POLL_WAIT };
         let since =
-            self.last_seq.saturating_sub(u64::from(std::mem::take(&mut self.is_new) && self.overlaps));
+            self.last_seq.saturating_sub(u64::from(std::mem::take(&mut self.is_new) && self.has_overlap));
         connection.enqueue(changelog::poll_request(&self.host, since, wait.as_millis()));
-        (self.asked, self.asked_at, self.deadline) = (true, now, now + WAIT + self.patience);
+        (self.is_pending, self.polled_at, self.deadline) =
+            (true, now, now + LONG_POLL_WAIT + self.answer_timeout);
         if connection.flush().is_err() {
             self.disconnect(now);
             return true;
@@ -171,20 +183,26 @@
         overdue
     }
 
-    /// Tries a connection beside those that have not come up yet. True: none can be tried.
+    /// Starts a connection attempt beside those that are pending. Returns true if none could be started.
     ///
-    /// Guards against a way on which connections come up later than a silent one is given up, where each would be given up
-    /// in turn; it hurts by a few descriptors while the change log is down.
-    fn dial(&mut self, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>, now: Duration) -> bool {
-        self.dials.retain(|&(at, _)| now < at + DIAL_MOST);
-        match Connection::connect(hub, self.address, self.key, accounts) {
-            Ok(dial) => {
-                self.dials.push_back((now, dial));
-                self.deadline = now + DIAL_AGAIN;
+    /// On a network path where establishing a connection takes longer than the time-out of a silent one, attempts made one
+    /// after the other would all time out. Parallel attempts prevent this, at the cost of a few descriptors while the
+    /// change log is down.
+    fn start_connect(
+        &mut self,
+        event_loop: &EventLoopHandle<O>,
+        resource_usage: &Rc<ResourceUsage>,
+        now: Duration,
+    ) -> bool {
+        self.connect_attempts.retain(|&(started_at, _)| now < started_at + CONNECT_TIMEOUT);
+        match Connection::connect(event_loop, self.address, self.key, resource_usage) {
+            Ok(attempt) => {
+                self.connect_attempts.push_back((now, attempt));
+                self.deadline = now + CONNECT_INTERVAL;
                 false
             }
             Err(_) => {
-                self.deadline = now + AGAIN;
+                self.deadline = now + RETRY_PAUSE;
                 true
             }
         }
@@ -192,53 +210,56 @@
 
     /// When the outstanding poll, or else the last answered one, was sent.
     pub fn polled_at(&self) -> Duration {
-        self.asked_at
+        self.polled_at
     }
 
     /// Requests an immediate answer, after any that may have arrived in the meantime. An outstanding poll gets a new
     /// timeout.
     pub fn poll_immediately(&mut self, now: Duration) {
-        self.answers_at_once = true;
-        self.deadline = if self.asked { now + PATIENCE } else { now };
+        self.polls_immediately = true;
+        self.deadline = if self.is_pending { now + ANSWER_TIMEOUT } else { now };
     }
 
     /// Closes all connections, drops the outstanding poll and schedules the next attempt after a pause.
     pub fn disconnect(&mut self, now: Duration) {
         self.connection = None;
-        self.dials.clear();
-        self.refused = false;
-        (self.asked, self.ended, self.deadline) = (false, false, now + AGAIN);
+        self.connect_attempts.clear();
+        self.has_connect_failed = false;
+        (self.is_pending, self.is_peer_closed, self.deadline) = (false, false, now + RETRY_PAUSE);
     }
 
     /// Handles an answer without new events: polls again immediately, unless the answer came without waiting for
     /// events.
     pub fn on_empty_answer(&mut self, now: Duration) {
-        if now < self.asked_at + WAIT / 2 {
-            self.deadline = now + AGAIN;
+        if now < self.polled_at + LONG_POLL_WAIT / 2 {
+            self.deadline = now + RETRY_PAUSE;
         }
     }
 
     /// Reads and writes as much as possible. Returns whether there may be more to read.
-    pub fn on_ready(&mut self, shared: &mut [u8], now: Duration) -> bool {
-        self.look_at_dials(now);
+    pub fn on_ready(&mut self, read_buffer: &mut [u8], now: Duration) -> bool {
+        self.check_connect_attempts(now);
         let Some(connection) = &mut self.connection else { return false };
-        let reading = match connection.flush() {
-            Ok(()) => connection.read(shared, READ_MOST),
+        let outcome = match connection.flush() {
+            Ok(()) => connection.read(read_buffer, MAX_READ_BYTES),
             Err(_) => ReadOutcome::Closed,
         };
-        self.ended |= reading == ReadOutcome::Closed;
-        reading == ReadOutcome::More
+        self.is_peer_closed |= outcome == ReadOutcome::Closed;
+        outcome == ReadOutcome::More
     }
 
-    /// The first that has come up is the connection; the others are let go.
-    fn look_at_dials(&mut self, now: Duration) {
-        let before = self.dials.len();
-        self.dials.retain_mut(|(_, dial)| dial.is_connected().is_ok());
-        self.refused |= before > 0 && self.dials.is_empty();
-        let up = self.dials.iter_mut().position(|(_, dial)| matches!(dial.is_connected(), Ok(true)));
-        if let Some((_, dial)) = up.and_then(|at| self.dials.remove(at)) {
-            self.connection = Some(dial);
-            self.dials.clear();
+    /// Keeps the first connection that is established and drops the other attempts.
+    fn check_connect_attempts(&mut self, now: Duration) {
+        let count_before = self.connect_attempts.len();
+        self.connect_attempts.retain_mut(|(_, attempt)| attempt.is_connected().is_ok());
+        self.has_connect_failed |= count_before > 0 && self.connect_attempts.is_empty();
+        let established = self
+            .connect_attempts
+            .iter_mut()
+            .position(|(_, attempt)| matches!(attempt.is_connected(), Ok(true)));
+        if let Some((_, connection)) = established.and_then(|index| self.connect_attempts.remove(index)) {
+            self.connection = Some(connection);
+            self.connect_attempts.clear();
             (self.is_new, self.deadline) = (true, now);
         }
     }
@@ -249,17 +270,17 @@
     /// The connection failed, was lost or carries an invalid answer, and can no longer be used.
     pub fn next_answer(&mut self, now: Duration) -> Result<Option<Bytes>, StreamError> {
         let Some(connection) = &mut self.connection else {
-            return if self.refused {
-                Err(StreamError("the change log can't be connected to"))
+            return if self.has_connect_failed {
+                Err(StreamError("cannot connect to the change log"))
             } else {
                 Ok(None)
             };
         };
         let body = connection.parse(changelog::next_answer)?;
         if body.is_some() {
-            (self.asked, self.deadline, self.patience) = (false, now, PATIENCE);
-        } else if self.ended {
-            return Err(StreamError("the change log's connection was lost"));
+            (self.is_pending, self.deadline, self.answer_timeout) = (false, now, ANSWER_TIMEOUT);
+        } else if self.is_peer_closed {
+            return Err(StreamError("connection to the change log lost"));
         }
         Ok(body)
     }
--- a/crates/wire/src/host_registry.rs
+++ b/crates/wire/src/host_registry.rs
@@ -12,7 +12,7 @@
     zones: Vec<String>,
     kinds: Vec<String>,
     indices: HashMap<String, HostIndex>,
-    /// Indices given back.
+    /// Indices of unregistered hosts, for reuse.
     free: Vec<HostIndex>,
 }
 
@@ -21,11 +21,11 @@
     ///
     /// # Errors
     /// One of the two settings is missing or is not a list.
-    pub fn new(told: &Settings) -> Result<Self, String> {
+    pub fn new(settings: &Settings) -> Result<Self, String> {
         let names = |name: &str| -> Result<Vec<String>, String> {
-            let list = told.get(name).and_then(|v| v.as_array());
-            let list = list.ok_or_else(|| format!("setting {name} is missing or no list"))?;
-            Ok(list.iter().map(|v| v.as_str().unwrap_or_default().to_owned()).collect())
+            let list = settings.get(name).and_then(|value| value.as_array());
+            let list = list.ok_or_else(|| format!("setting {name} is missing or not a list"))?;
+            Ok(list.iter().map(|value| value.as_str().unwrap_or_default().to_owned()).collect())
         };
         Ok(Self { zones: names("zones")?, kinds: names("kinds")?, indices: HashMap::new(), free: Vec::new() })
     }
@@ -33,8 +33,8 @@
     /// Returns the index of a host and whether it was assigned by this call. A name keeps its index until it is
     /// unregistered.
     pub fn register(&mut self, name: &str) -> (HostIndex, bool) {
-        if let Some(&known) = self.indices.get(name) {
-            return (known, false);
+        if let Some(&index) = self.indices.get(name) {
+            return (index, false);
         }
         let index = self.free.pop().unwrap_or(self.indices.len());
         self.indices.insert(name.to_owned(), index);
@@ -59,38 +59,40 @@
 
     /// Converts an endpoint of the host list into an entry, and returns it with the error of the endpoint, if any.
     /// Fields that the endpoint omits keep the values of `known`. A host with an unknown status, zone or type is
-    /// treated as gone.
+    /// treated as removed.
     pub fn resolve_entry(
         &self,
         known: &HostEntry,
-        told: &Endpoint<'_>,
+        endpoint: &Endpoint<'_>,
         clock: &Clock,
         now: Duration,
     ) -> (HostEntry, Option<&'static str>) {
-        let place = |list: &[String], name: &str, known: usize| match name {
+        let index_in = |list: &[String], name: &str, known: usize| match name {
             "" => Some(known),
             _ => list.iter().position(|listed| listed == name),
         };
-        let standing = match &*told.status {
+        let status = match &*endpoint.status {
             "active" => Ok(HostStatus::Active),
             "leaving" => Ok(HostStatus::Draining),
             "left" => Ok(HostStatus::Removed),
-            _ => Err("a status that is not known"),
+            _ => Err("its status is unknown"),
         };
-        let zone = place(&self.zones, &told.zone, known.zone).ok_or("a zone that is not in the settings");
-        let kind = place(&self.kinds, &told.kind, known.kind).ok_or("a type that is not in the settings");
-        let fault = standing.err().or(zone.err()).or(kind.err());
+        let zone = index_in(&self.zones, &endpoint.zone, known.zone).ok_or("its zone is not in the settings");
+        let kind = index_in(&self.kinds, &endpoint.kind, known.kind).ok_or("its type is not in the settings");
+        let error = status.err().or(zone.err()).or(kind.err());
         let entry = HostEntry {
             host: known.host,
-            id_hash: hash_host_id(&told.name),
-            status: standing.ok().filter(|_| fault.is_none()).unwrap_or(HostStatus::Removed),
-            start: told.since_ms.map_or(known.start, |at| Start::Claimed(clock.start_claim(at, now))),
+            id_hash: hash_host_id(&endpoint.name),
+            status: status.ok().filter(|_| error.is_none()).unwrap_or(HostStatus::Removed),
+            start: endpoint
+                .since_ms
+                .map_or(known.start, |unix_ms| Start::Claimed(clock.start_claim(unix_ms, now))),
             zone: zone.unwrap_or(known.zone),
-            cell: told.group.unwrap_or(known.cell),
+            cell: endpoint.group.unwrap_or(known.cell),
             kind: kind.unwrap_or(known.kind),
-            weight: told.weight.unwrap_or(known.weight),
+            weight: endpoint.weight.unwrap_or(known.weight),
             withheld_fraction: 0.0,
         };
-        (entry, fault)
+        (entry, error)
     }
 }
--- a/crates/wire/src/long_poll.rs
+++ b/crates/wire/src/long_poll.rs
@@ -1,5 +1,5 @@
 //! Long-poll client of a replica: one request at a time on a persistent connection. The caller decides on the query and
-//! the timeout. The platform's change log is polled by `change_log_client`, under rules of its own.
+//! the timeout. The platform's change log is polled by `change_log_client`, with its own rules for time-outs and retries.
 
 use crate::protocol::{StreamError, changelog};
 use crate::transport::{Connection, EventLoopHandle, ReadOutcome, ReadinessHandler, ResourceUsage};
@@ -8,21 +8,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes read from the replica in one turn.
-const READ_MOST: usize = 256 * 1024;
+/// Limit of the bytes read from the replica in one iteration of the event loop.
+const MAX_READ_BYTES: usize = 256 * 1024;
 
 /// Long-poll client of one replica.
 pub struct LongPollClient<O: ReadinessHandler> {
     address: SocketAddr,
     host: String,
-    /// How the owner knows that it was ready.
+    /// The key under which the handler is notified.
     key: O::Key,
     connection: Option<Connection<O>>,
-    /// Until when an answer is waited for, while one is asked for.
-    give_up_at: Option<Duration>,
-    /// The other side has closed; what came before may still be a whole answer.
-    has_ended: bool,
-    /// Why the poll that is open can't be answered any more.
+    /// The time-out of the outstanding poll, if any.
+    timeout_at: Option<Duration>,
+    /// The peer has closed the connection. The bytes received before may still be a complete answer.
+    is_peer_closed: bool,
+    /// The reason why the outstanding poll has failed.
     failure: Option<StreamError>,
 }
 
@@ -34,8 +34,8 @@
             host: address.to_string(),
             key,
             connection: None,
-            give_up_at: None,
-            has_ended: false,
+            timeout_at: None,
+            is_peer_closed: false,
             failure: None,
         }
     }
@@ -47,13 +47,13 @@
 
     /// Whether a poll is outstanding.
     pub fn is_pending(&self) -> bool {
-        self.give_up_at.is_some()
+        self.timeout_at.is_some()
     }
 
     /// When [`LongPollClient::take_result`] has a result at the latest: the timeout of the outstanding poll, zero if the
     /// poll has failed, and `Duration::MAX` if none is outstanding.
     pub fn deadline(&self) -> Duration {
-        if self.failure.is_some() { Duration::ZERO } else { self.give_up_at.unwrap_or(Duration::MAX) }
+        if self.failure.is_some() { Duration::ZERO } else { self.timeout_at.unwrap_or(Duration::MAX) }
     }
 
     /// Sends a poll on the existing connection or a new one. [`LongPollClient::take_result`] returns its result. A poll
@@ -61,14 +61,14 @@
     pub fn start_poll(
         &mut self,
         query: &str,
-        give_up_at: Duration,
-        hub: &EventLoopHandle<O>,
-        accounts: &Rc<ResourceUsage>,
+        timeout_at: Duration,
+        event_loop: &EventLoopHandle<O>,
+        resource_usage: &Rc<ResourceUsage>,
     ) {
         if self.is_pending() {
             self.disconnect();
         }
-        self.give_up_at = Some(give_up_at);
+        self.timeout_at = Some(timeout_at);
         self.failure = None;
         let request = changelog::poll_request_with_query(&self.host, format_args!("{query}"));
         let is_sent = self.connection.as_mut().is_some_and(|connection| {
@@ -76,95 +76,100 @@
             connection.flush().is_ok()
         });
         if !is_sent {
-            self.ask_anew(request, hub, accounts);
+            self.send_on_new_connection(request, event_loop, resource_usage);
         }
     }
 
-    fn ask_anew(&mut self, request: Bytes, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>) {
+    fn send_on_new_connection(
+        &mut self,
+        request: Bytes,
+        event_loop: &EventLoopHandle<O>,
+        resource_usage: &Rc<ResourceUsage>,
+    ) {
         self.disconnect();
-        match Connection::connect(hub, self.address, self.key, accounts) {
+        match Connection::connect(event_loop, self.address, self.key, resource_usage) {
             Ok(mut connection) => {
                 connection.enqueue(request);
                 self.connection = Some(connection);
             }
-            Err(_) => self.failure = Some(REFUSED),
+            Err(_) => self.failure = Some(CONNECTION_REFUSED),
         }
     }
 
     /// Drops the outstanding poll and closes the connection.
     pub fn cancel(&mut self) {
         self.disconnect();
-        (self.give_up_at, self.failure) = (None, None);
+        (self.timeout_at, self.failure) = (None, None);
     }
 
     /// Reads and writes as much as possible. Returns whether there may be more to read.
-    pub fn on_ready(&mut self, shared: &mut [u8]) -> bool {
+    pub fn on_ready(&mut self, read_buffer: &mut [u8]) -> bool {
         let Some(connection) = &mut self.connection else { return false };
         match connection.is_connected() {
             Ok(true) => {}
             Ok(false) => return false,
             Err(_) => {
-                self.fail(REFUSED);
+                self.fail(CONNECTION_REFUSED);
                 return false;
             }
         }
-        let reading = match connection.flush() {
-            Ok(()) => connection.read(shared, READ_MOST),
+        let outcome = match connection.flush() {
+            Ok(()) => connection.read(read_buffer, MAX_READ_BYTES),
             Err(_) => ReadOutcome::Closed,
         };
-        self.has_ended |= reading == ReadOutcome::Closed;
-        if self.has_ended && !self.is_pending() {
+        self.is_peer_closed |= outcome == ReadOutcome::Closed;
+        if self.is_peer_closed && !self.is_pending() {
             self.disconnect();
         }
-        reading == ReadOutcome::More
+        outcome == ReadOutcome::More
     }
 
     /// The result of the outstanding poll, returned once: the body of the answer or the reason of the failure.
     pub fn take_result(&mut self, now: Duration) -> Option<Result<Bytes, StreamError>> {
-        let give_up_at = self.give_up_at?;
-        let answer = self.answer();
+        let timeout_at = self.timeout_at?;
+        let answer = self.next_answer();
         match answer {
             Ok(Some(body)) => {
-                self.give_up_at = None;
-                if self.has_ended {
-                    // The next poll must not go out on what has closed behind its answer.
+                self.timeout_at = None;
+                if self.is_peer_closed {
+                    // The peer closed the connection after its answer, so the next poll needs a new one.
                     self.disconnect();
                 }
                 Some(Ok(body))
             }
-            Ok(None) if now < give_up_at => None,
+            Ok(None) if now < timeout_at => None,
             Ok(None) => {
                 self.cancel();
-                Some(Err(SILENT))
+                Some(Err(ANSWER_TIMED_OUT))
             }
-            Err(fault) => {
+            Err(error) => {
                 self.cancel();
-                Some(Err(fault))
+                Some(Err(error))
             }
         }
     }
 
-    fn answer(&mut self) -> Result<Option<Bytes>, StreamError> {
+    fn next_answer(&mut self) -> Result<Option<Bytes>, StreamError> {
         if let Some(failure) = self.failure.take() {
             return Err(failure);
         }
-        let Some(connection) = &mut self.connection else { return Err(LOST) };
+        let Some(connection) = &mut self.connection else { return Err(CONNECTION_LOST) };
         let body = connection.parse(changelog::next_answer)?;
-        if body.is_none() && self.has_ended { Err(LOST) } else { Ok(body) }
+        if body.is_none() && self.is_peer_closed { Err(CONNECTION_LOST) } else { Ok(body) }
     }
 
-    fn fail(&mut self, fault: StreamError) {
+    fn fail(&mut self, error: StreamError) {
         self.disconnect();
-        self.failure = self.is_pending().then_some(fault);
+        self.failure = self.is_pending().then_some(error);
     }
 
     fn disconnect(&mut self) {
         self.connection = None;
-        self.has_ended = false;
+        self.is_peer_closed = false;
     }
 }
 
-const REFUSED: StreamError =
-    StreamError("the replica refuses connections: look whether it runs, and its address");
-const SILENT: StreamError = StreamError("the replica did not answer in time");
-const LOST: StreamError = StreamError("the connection to the replica was lost");
+const CONNECTION_REFUSED: StreamError =
+    StreamError("the replica refuses connections: check that it runs and that its address is right");
+const ANSWER_TIMED_OUT: StreamError = StreamError("the replica did not answer in time");
+const CONNECTION_LOST: StreamError = StreamError("connection to the replica lost");
--- a/crates/wire/src/transport/closing.rs
+++ b/crates/wire/src/transport/closing.rs
@@ -9,39 +9,39 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long the other side is waited for: a request that crosses the close comes within 50 ms by the protocol page, and
-/// a way there and back over the slowest network is a tenth of it.
-const LINGERS: Duration = Duration::from_millis(500);
-/// Bytes thrown away in one turn; what more there is waits for the next.
-const DISCARD_MOST: usize = 256 * 1024;
+/// Time limit for the peer to close. By the protocol page, a request that crosses the close arrives within 50 ms, and a
+/// round trip over the slowest network takes a tenth of this limit.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Limit of the bytes discarded in one iteration of the event loop. The rest waits for the next iteration.
+const MAX_DISCARD_BYTES: usize = 256 * 1024;
 
 /// Connections in a lingering close, oldest first.
 pub struct ClosingConnections<O: ReadinessHandler> {
-    list: VecDeque<Step<O>>,
-    most: usize,
+    list: VecDeque<Entry<O>>,
+    max_connections: usize,
 }
 
-struct Step<O: ReadinessHandler> {
+struct Entry<O: ReadinessHandler> {
     key: O::Key,
     connection: Connection<O>,
-    until: Duration,
-    /// Nothing more is sent, and the other side has been told.
-    half: bool,
+    deadline: Duration,
+    /// All pending bytes are written, and the write side is shut down.
+    is_half_closed: bool,
 }
 
-impl<O: ReadinessHandler> Step<O> {
-    /// Goes on as far as it can; whether it is over, and whether there is more to read.
-    fn go_on(&mut self, shared: &mut [u8]) -> (bool, bool) {
-        if !self.half {
+impl<O: ReadinessHandler> Entry<O> {
+    /// Writes and discards as much as possible. Returns whether the close is complete, and whether there may be more to read.
+    fn proceed(&mut self, read_buffer: &mut [u8]) -> (bool, bool) {
+        if !self.is_half_closed {
             if self.connection.flush().is_err() {
                 return (true, false);
             }
             if self.connection.unsent_bytes() == 0 {
                 self.connection.half_close();
-                self.half = true;
+                self.is_half_closed = true;
             }
         }
-        match self.connection.discard(shared, DISCARD_MOST) {
+        match self.connection.discard(read_buffer, MAX_DISCARD_BYTES) {
             ReadOutcome::Closed => (true, false),
             ReadOutcome::Drained => (false, false),
             ReadOutcome::More => (false, true),
@@ -53,43 +53,49 @@
 where
     O::Key: PartialEq,
 {
-    /// Creates a set that holds at most `most` connections.
-    pub fn new(most: usize) -> Self {
-        Self { list: VecDeque::new(), most }
+    /// Creates a set that holds at most `max_connections` connections.
+    pub fn new(max_connections: usize) -> Self {
+        Self { list: VecDeque::new(), max_connections }
     }
 
     /// Starts to close a connection. The handler is still called with `key` when the connection is ready.
-    pub fn start_close(&mut self, key: O::Key, connection: Connection<O>, shared: &mut [u8], now: Duration) {
-        let mut step = Step { key, connection, until: now + LINGERS, half: false };
-        if step.go_on(shared).0 {
+    pub fn start_close(
+        &mut self,
+        key: O::Key,
+        connection: Connection<O>,
+        read_buffer: &mut [u8],
+        now: Duration,
+    ) {
+        let mut entry = Entry { key, connection, deadline: now + LINGER_TIMEOUT, is_half_closed: false };
+        if entry.proceed(read_buffer).0 {
             return;
         }
-        self.list.push_back(step);
-        if self.list.len() > self.most {
+        self.list.push_back(entry);
+        if self.list.len() > self.max_connections {
             self.list.pop_front();
         }
     }
 
     /// Continues to close the connection registered under `key`. Returns whether there may be more to read, or `None` if
     /// no such connection is being closed.
-    pub fn on_ready(&mut self, key: O::Key, shared: &mut [u8]) -> Option<bool> {
-        let at = self.list.iter().position(|step| step.key == key)?;
-        let (over, more) = self.list[at].go_on(shared);
-        if over {
-            self.list.remove(at);
+    pub fn on_ready(&mut self, key: O::Key, read_buffer: &mut [u8]) -> Option<bool> {
+        let index = self.list.iter().position(|entry| entry.key == key)?;
+        let (is_complete, has_more) = self.list[index].proceed(read_buffer);
+        if is_complete {
+            self.list.remove(index);
         }
-        Some(more)
+        Some(has_more)
     }
 
     /// Closes the connections whose time limit has expired.
     pub fn expire(&mut self, now: Duration) {
-        while self.list.front().is_some_and(|step| now >= step.until) {
+        while self.list.front().is_some_and(|entry| now >= entry.deadline) {
             self.list.pop_front();
         }
     }
 
     /// The keys of all connections that are being closed.
     pub fn keys(&self) -> impl Iterator<Item = O::Key> {
-        self.list.iter().map(|step| step.key)
+        self.list.iter().map(|entry| entry.key)
     }
 }
--- a/crates/wire/src/transport/connection.rs
+++ b/crates/wire/src/transport/connection.rs
@@ -10,10 +10,10 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Room for bytes to come that a connection keeps while nothing waits to be parsed.
-const KEPT: usize = 4 * 1024;
-/// Pieces handed to the system in one write.
-const PIECES: usize = 32;
+/// Largest read buffer that a connection keeps while it holds no unparsed bytes.
+const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
+/// Messages passed to the operating system in one vectored write.
+const MAX_WRITE_SLICES: usize = 32;
 
 /// How a read ended.
 #[derive(Debug, PartialEq, Eq)]
@@ -28,71 +28,74 @@
 
 /// A buffered, non-blocking TCP connection registered with an event loop.
 pub struct Connection<O: ReadinessHandler> {
-    hub: EventLoopHandle<O>,
+    event_loop: EventLoopHandle<O>,
     stream: Rc<TcpStream>,
     registration: RegistrationToken,
-    accounts: Rc<ResourceUsage>,
+    resource_usage: Rc<ResourceUsage>,
     inbound: BytesMut,
-    /// Messages that wait to go out, each with its number; of the first a part may have gone.
+    /// Messages that wait to be written, each with its number. A part of the first may be written already.
     outbound: VecDeque<(u64, Bytes)>,
-    /// Messages ever handed over; each has the count before it as its number.
-    messages: u64,
-    begun: bool,
-    /// Bytes that wait in `outbound`, and bytes ever taken by the system.
-    waiting: usize,
-    flushed: u64,
-    up: bool,
+    /// Total messages queued so far, which is the number of the next message.
+    enqueued_messages: u64,
+    /// A part of the first message in `outbound` is written.
+    is_first_begun: bool,
+    /// Bytes that wait in `outbound`.
+    unsent_bytes: usize,
+    /// Total bytes accepted by the operating system.
+    written_bytes: u64,
+    is_up: bool,
 }
 
 impl<O: ReadinessHandler> Connection<O> {
     /// Registers an accepted connection.
     pub fn from_accepted(
-        hub: &EventLoopHandle<O>,
+        event_loop: &EventLoopHandle<O>,
         stream: TcpStream,
         key: O::Key,
-        accounts: &Rc<ResourceUsage>,
+        resource_usage: &Rc<ResourceUsage>,
     ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
-        Self::register(hub, stream, key, accounts, true)
+        Self::register(event_loop, stream, key, resource_usage, true)
     }
 
     /// Starts to connect; [`Connection::is_connected`] returns whether it has succeeded.
     pub fn connect(
-        hub: &EventLoopHandle<O>,
-        to: SocketAddr,
+        event_loop: &EventLoopHandle<O>,
+        address: SocketAddr,
         key: O::Key,
-        accounts: &Rc<ResourceUsage>,
+        resource_usage: &Rc<ResourceUsage>,
     ) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
-        match socket.connect(&to.into()) {
+        let socket =
+            Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+        match socket.connect(&address.into()) {
             Err(e) if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock => Err(e),
-            _ => Self::register(hub, socket.into(), key, accounts, false),
+            _ => Self::register(event_loop, socket.into(), key, resource_usage, false),
         }
     }
 
     fn register(
-        hub: &EventLoopHandle<O>,
+        event_loop: &EventLoopHandle<O>,
         stream: TcpStream,
         key: O::Key,
-        accounts: &Rc<ResourceUsage>,
-        up: bool,
+        resource_usage: &Rc<ResourceUsage>,
+        is_up: bool,
     ) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        let registration = register_socket(hub, &stream, Interest::BOTH, key)?;
-        accounts.descriptors.add(1);
+        let registration = register_socket(event_loop, &stream, Interest::BOTH, key)?;
+        resource_usage.descriptors.add(1);
         Ok(Self {
-            hub: hub.clone(),
+            event_loop: event_loop.clone(),
             stream,
             registration,
-            accounts: Rc::clone(accounts),
+            resource_usage: Rc::clone(resource_usage),
             inbound: BytesMut::new(),
             outbound: VecDeque::new(),
-            messages: 0,
-            begun: false,
-            waiting: 0,
-            flushed: 0,
-            up,
+            enqueued_messages: 0,
+            is_first_begun: false,
+            unsent_bytes: 0,
+            written_bytes: 0,
+            is_up,
         })
     }
 
@@ -101,23 +104,23 @@
     /// # Errors
     /// The connection attempt has failed.
     pub fn is_connected(&mut self) -> io::Result<bool> {
-        if !self.up {
-            if let Some(e) = self.stream.take_error()? {
-                return Err(e);
+        if !self.is_up {
+            if let Some(error) = self.stream.take_error()? {
+                return Err(error);
             }
-            self.up = self.stream.peer_addr().is_ok();
+            self.is_up = self.stream.peer_addr().is_ok();
         }
-        Ok(self.up)
+        Ok(self.is_up)
     }
 
-    /// Reads the available bytes through a buffer that all connections share. Stops soon after `most` bytes, so that a
+    /// Reads the available bytes through a buffer that all connections share. Stops soon after `max_bytes` bytes, so that a
     /// connection that always has more to read can't starve the others.
-    pub fn read(&mut self, shared: &mut [u8], most: usize) -> ReadOutcome {
-        let Self { stream, inbound, accounts, .. } = self;
-        receive(stream, shared, most, |bytes| {
+    pub fn read(&mut self, read_buffer: &mut [u8], max_bytes: usize) -> ReadOutcome {
+        let Self { stream, inbound, resource_usage, .. } = self;
+        receive(stream, read_buffer, max_bytes, |bytes| {
             inbound.extend_from_slice(bytes);
-            accounts.buffered_bytes.add(bytes.len());
-            accounts.bytes_in.add(bytes.len());
+            resource_usage.buffered_bytes.add(bytes.len());
+            resource_usage.bytes_in.add(bytes.len());
         })
     }
 
@@ -125,9 +128,9 @@
     pub fn parse<T>(&mut self, parser: impl FnOnce(&mut BytesMut) -> T) -> T {
         let before = self.inbound.len();
         let parsed = parser(&mut self.inbound);
-        self.accounts.buffered_bytes.subtract(before - self.inbound.len());
-        if self.inbound.is_empty() && self.inbound.capacity() > KEPT {
-            // A large message is over; what is left of its buffer would stay with an idle connection.
+        self.resource_usage.buffered_bytes.subtract(before - self.inbound.len());
+        if self.inbound.is_empty() && self.inbound.capacity() > MAX_IDLE_BUFFER_BYTES {
+            // The buffer has grown for a large message and would stay allocated on an idle connection.
             self.inbound = BytesMut::new();
         }
         parsed
@@ -136,11 +139,11 @@
     /// Queues a message to be written and returns its number, for [`Connection::is_written`] and
     /// [`Connection::cancel_unsent`].
     pub fn enqueue(&mut self, bytes: Bytes) -> u64 {
-        let number = self.messages;
+        let number = self.enqueued_messages;
         if !bytes.is_empty() {
-            self.messages += 1;
-            self.waiting += bytes.len();
-            self.accounts.buffered_bytes.add(bytes.len());
+            self.enqueued_messages += 1;
+            self.unsent_bytes += bytes.len();
+            self.resource_usage.buffered_bytes.add(bytes.len());
             self.outbound.push_back((number, bytes));
         }
         number
@@ -156,25 +159,27 @@
     ///
     /// Without this, a peer that reads nothing for a while would still receive requests that were abandoned meanwhile.
     pub fn cancel_unsent(&mut self, number: u64) -> bool {
-        let Some(at) = self.outbound.iter().position(|&(waiting, _)| waiting == number) else { return false };
-        if at == 0 && self.begun {
+        let Some(index) = self.outbound.iter().position(|&(queued, _)| queued == number) else {
+            return false;
+        };
+        if index == 0 && self.is_first_begun {
             return false;
         }
-        let long = self.outbound.remove(at).map_or(0, |(_, bytes)| bytes.len());
-        self.waiting -= long;
-        self.accounts.buffered_bytes.subtract(long);
+        let length = self.outbound.remove(index).map_or(0, |(_, bytes)| bytes.len());
+        self.unsent_bytes -= length;
+        self.resource_usage.buffered_bytes.subtract(length);
         true
     }
 
     /// Shuts down the write side. What the peer sends can still be read.
     pub fn half_close(&self) {
-        // One that is broken already needs no telling.
+        // A failed connection needs no shutdown, so the error is ignored.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
     /// Reads and discards the available bytes, up to the same limit as [`Connection::read`].
-    pub fn discard(&mut self, shared: &mut [u8], most: usize) -> ReadOutcome {
-        receive(&self.stream, shared, most, |_| ())
+    pub fn discard(&mut self, read_buffer: &mut [u8], max_bytes: usize) -> ReadOutcome {
+        receive(&self.stream, read_buffer, max_bytes, |_| ())
     }
 
     /// Writes as many queued bytes as the operating system accepts.
@@ -183,14 +188,14 @@
     /// The connection has failed.
     pub fn flush(&mut self) -> io::Result<()> {
         while !self.outbound.is_empty() {
-            let mut pieces = [IoSlice::new(&[]); PIECES];
-            for (piece, (_, bytes)) in pieces.iter_mut().zip(&self.outbound) {
-                *piece = IoSlice::new(bytes);
+            let mut slices = [IoSlice::new(&[]); MAX_WRITE_SLICES];
+            for (slice, (_, bytes)) in slices.iter_mut().zip(&self.outbound) {
+                *slice = IoSlice::new(bytes);
             }
-            let pieces = &pieces[..self.outbound.len().min(PIECES)];
-            match (&*self.stream).write_vectored(pieces) {
+            let slices = &slices[..self.outbound.len().min(MAX_WRITE_SLICES)];
+            match (&*self.stream).write_vectored(slices) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(n) => self.sent(n),
+                Ok(count) => self.on_written(count),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
@@ -199,17 +204,17 @@
         Ok(())
     }
 
-    fn sent(&mut self, mut n: usize) {
-        self.flushed += n as u64;
-        self.waiting -= n;
-        self.accounts.buffered_bytes.subtract(n);
-        self.accounts.bytes_out.add(n);
-        while let Some((_, first)) = self.outbound.front_mut().filter(|_| n > 0) {
-            let part = n.min(first.len());
-            n -= part;
-            self.begun = part < first.len();
-            if self.begun {
-                let _ = first.split_to(part);
+    fn on_written(&mut self, mut count: usize) {
+        self.written_bytes += count as u64;
+        self.unsent_bytes -= count;
+        self.resource_usage.buffered_bytes.subtract(count);
+        self.resource_usage.bytes_out.add(count);
+        while let Some((_, first)) = self.outbound.front_mut().filter(|_| count > 0) {
+            let written = count.min(first.len());
+            count -= written;
+            self.is_first_begun = written < first.len();
+            if self.is_first_begun {
+                let _ = first.split_to(written);
             } else {
                 self.outbound.pop_front();
             }
@@ -218,12 +223,12 @@
 
     /// Total bytes queued so far, for a caller that cancels no messages.
     pub fn enqueued_bytes(&self) -> u64 {
-        self.flushed + self.waiting as u64
+        self.written_bytes + self.unsent_bytes as u64
     }
 
     /// Total bytes handed to the operating system.
     pub fn written_bytes(&self) -> u64 {
-        self.flushed
+        self.written_bytes
     }
 
     /// Bytes that were read but not parsed yet.
@@ -233,24 +238,24 @@
 
     /// Queued bytes that were not written yet.
     pub fn unsent_bytes(&self) -> usize {
-        self.waiting
+        self.unsent_bytes
     }
 }
 
-/// Hands on what has come, as far as `most` allows.
+/// Passes the available bytes to `on_bytes`, and stops soon after `max_bytes`.
 fn receive(
     mut stream: &TcpStream,
-    shared: &mut [u8],
-    most: usize,
-    mut each: impl FnMut(&[u8]),
+    read_buffer: &mut [u8],
+    max_bytes: usize,
+    mut on_bytes: impl FnMut(&[u8]),
 ) -> ReadOutcome {
-    let mut read = 0;
-    while read < most {
-        match stream.read(shared) {
+    let mut total = 0;
+    while total < max_bytes {
+        match stream.read(read_buffer) {
             Ok(0) => return ReadOutcome::Closed,
-            Ok(n) => {
-                read += n;
-                each(&shared[..n]);
+            Ok(count) => {
+                total += count;
+                on_bytes(&read_buffer[..count]);
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::Drained,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -260,13 +265,13 @@
     ReadOutcome::More
 }
 
-/// What Linux answers to a connect that goes on behind.
+/// `EINPROGRESS` on Linux: a non-blocking connect continues in the background.
 const IN_PROGRESS: i32 = 115;
 
 impl<O: ReadinessHandler> Drop for Connection<O> {
     fn drop(&mut self) {
-        self.hub.remove(self.registration);
-        self.accounts.buffered_bytes.subtract(self.inbound.len() + self.unsent_bytes());
-        self.accounts.descriptors.subtract(1);
+        self.event_loop.remove(self.registration);
+        self.resource_usage.buffered_bytes.subtract(self.inbound.len() + self.unsent_bytes());
+        self.resource_usage.descriptors.subtract(1);
     }
 }
--- a/crates/wire/src/transport/listener.rs
+++ b/crates/wire/src/transport/listener.rs
@@ -7,33 +7,39 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Connections that the system keeps ready; a restart brings all clients at once.
-const BACKLOG: i32 = 1024;
+/// Connections that the operating system queues until they are accepted. After a restart all clients connect at once.
+const BACKLOG_CONNECTIONS: i32 = 1024;
 
 /// A listening socket, closed on drop. Connections that still wait in its backlog are reset.
 pub struct Listener<O: ReadinessHandler> {
-    hub: EventLoopHandle<O>,
+    event_loop: EventLoopHandle<O>,
     registration: RegistrationToken,
-    accounts: Rc<ResourceUsage>,
+    resource_usage: Rc<ResourceUsage>,
     socket: Rc<TcpListener>,
 }
 
 impl<O: ReadinessHandler> Listener<O> {
     /// Binds and listens, also on an address that a process which has just ended was using.
     pub fn bind(
-        hub: &EventLoopHandle<O>,
-        at: SocketAddr,
+        event_loop: &EventLoopHandle<O>,
+        address: SocketAddr,
         key: O::Key,
-        accounts: &Rc<ResourceUsage>,
+        resource_usage: &Rc<ResourceUsage>,
     ) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(at), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+        let socket =
+            Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
-        socket.bind(&at.into())?;
-        socket.listen(BACKLOG)?;
+        socket.bind(&address.into())?;
+        socket.listen(BACKLOG_CONNECTIONS)?;
         let socket = Rc::new(TcpListener::from(socket));
-        let registration = register_socket(hub, &socket, Interest::READ, key)?;
-        accounts.descriptors.add(1);
-        Ok(Self { hub: hub.clone(), registration, accounts: Rc::clone(accounts), socket })
+        let registration = register_socket(event_loop, &socket, Interest::READ, key)?;
+        resource_usage.descriptors.add(1);
+        Ok(Self {
+            event_loop: event_loop.clone(),
+            registration,
+            resource_usage: Rc::clone(resource_usage),
+            socket,
+        })
     }
 
     /// The bound address. The operating system chooses the port if none was given.
@@ -46,9 +52,10 @@
         loop {
             match self.socket.accept() {
                 Ok((stream, _)) => return Ok(Some(stream)),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(None),
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(error) => return Err(error),
             }
         }
     }
@@ -56,7 +63,7 @@
 
 impl<O: ReadinessHandler> Drop for Listener<O> {
     fn drop(&mut self) {
-        self.hub.remove(self.registration);
-        self.accounts.descriptors.subtract(1);
+        self.event_loop.remove(self.registration);
+        self.resource_usage.descriptors.subtract(1);
     }
 }
--- a/crates/wire/src/transport/mod.rs
+++ b/crates/wire/src/transport/mod.rs
@@ -22,17 +22,17 @@
 
 /// Registers a socket with the event loop, which calls the handler when the socket can be read or, if requested, written.
 fn register_socket<O: ReadinessHandler, S: AsFd + 'static>(
-    hub: &EventLoopHandle<O>,
+    event_loop: &EventLoopHandle<O>,
     socket: &Rc<S>,
     interest: Interest,
     key: O::Key,
 ) -> io::Result<RegistrationToken> {
     let source = Generic::new(Rc::clone(socket), interest, Mode::Edge);
-    let watched = hub.insert_source(source, move |_, _, owner: &mut O| {
-        owner.on_socket_ready(key);
+    let registration = event_loop.insert_source(source, move |_, _, handler: &mut O| {
+        handler.on_socket_ready(key);
         Ok(PostAction::Continue)
     });
-    watched.map_err(|e| io::Error::other(e.error))
+    registration.map_err(|error| io::Error::other(error.error))
 }
 
 /// Owns sockets and is called when one of them can be read or written.
--- a/crates/wire/src/transport/resource_usage.rs
+++ b/crates/wire/src/transport/resource_usage.rs
@@ -21,26 +21,26 @@
 /// A value with its peak.
 #[derive(Default)]
 pub struct Gauge {
-    level: Cell<usize>,
+    current: Cell<usize>,
     peak: Cell<usize>,
 }
 
 impl Gauge {
     /// Increases the value, and the peak if the value exceeds it.
-    pub fn add(&self, n: usize) {
-        self.level.set(self.level.get() + n);
-        self.peak.set(self.peak.get().max(self.level.get()));
+    pub fn add(&self, amount: usize) {
+        self.current.set(self.current.get() + amount);
+        self.peak.set(self.peak.get().max(self.current.get()));
     }
 
     /// Decreases the value.
-    pub fn subtract(&self, n: usize) {
-        debug_assert!(self.level.get() >= n, "more given back than was held");
-        self.level.set(self.level.get().saturating_sub(n));
+    pub fn subtract(&self, amount: usize) {
+        debug_assert!(self.current.get() >= amount, "more released than was held");
+        self.current.set(self.current.get().saturating_sub(amount));
     }
 
     /// The current value.
     pub fn current(&self) -> usize {
-        self.level.get()
+        self.current.get()
     }
 
     /// The highest value so far.
