--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,5 +1,5 @@
-//! The traffic router on sockets, by layer, each of which knows only those before it: transport and protocol (of
-//! `myrtlegauge-wire`), routing, program.
+//! The dispatcher: the traffic router on sockets. Its layers depend only on the layers before them: transport and protocol
+//! (of `myrtlegauge-wire`), routing, program.
 
 pub mod program;
 pub mod routing;
--- a/crates/dispatcher/src/program/mod.rs
+++ b/crates/dispatcher/src/program/mod.rs
@@ -1,79 +1,90 @@
-//! The program around the router: what it is told at the start and on SIGHUP, its loop, its signals.
+//! The program around the router: its configuration file, read at the start and on SIGHUP, its event loop and its signals.
 
 mod start;
 mod usage;
 
-pub use start::{ConfigFile, moved};
+pub use start::{ConfigFile, reload};
 
 use crate::routing::{Dispatcher, Guards, Startup};
 use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
 use std::net::SocketAddr;
 
-/// The signals that a dispatcher takes; the system keeps them for its loop from the call on.
+/// The signals that a dispatcher handles. From this call on, the operating system queues them for the event loop.
 ///
-/// Called before anything else is done: SIGHUP ends a process that has not asked for it, and what is told anew while the
+/// Has to be called before anything else: SIGHUP ends a process that does not handle it, and a reload requested while the
 /// first configuration is read would be missed.
 pub fn signals() -> Result<Signals, String> {
     Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP])
-        .map_err(|e| format!("signals can't be watched: {e}"))
+        .map_err(|error| format!("cannot watch signals: {error}"))
 }
 
+/// Runs the dispatcher with the configuration file that the environment names, until a signal stops it.
 pub fn run() -> Result<(), String> {
     run_with(Guards::ALL)
 }
 
-/// The same with these guards: a proof leaves one out.
+/// Like [`run`], with a choice of guards. Proof runs leave one out.
 pub fn run_with(guards: Guards) -> Result<(), String> {
     let signals = signals()?;
-    let text = start::read()?;
-    let told = start::ConfigFile::parse(&text)?;
-    let started = text.clone();
+    let text = start::read_file()?;
+    let config = start::ConfigFile::parse(&text)?;
+    let startup_text = text.clone();
     let reread = move || {
-        let (changelog, kept) = start::read().and_then(|text| moved(&started, &text))?;
-        if !kept.is_empty() {
-            log::warn!("read anew: {} can't change while running, kept as it was", kept.join(", "));
+        let (changelog, ignored_fields) = start::read_file().and_then(|text| reload(&startup_text, &text))?;
+        if !ignored_fields.is_empty() {
+            log::warn!(
+                "configuration reload: {} can't change at run time, keeping the values from the start",
+                ignored_fields.join(", ")
+            );
         }
         Ok(changelog)
     };
-    serve(signals, &told.name, Startup { guards, ..told.startup()? }, reread)
+    serve(signals, &config.name, Startup { guards, ..config.startup()? }, reread)
 }
 
-/// Takes GETs until it is told to end. `reread` says at SIGHUP where the change log is by what was told anew.
+/// Serves GETs until a signal stops the dispatcher. On SIGHUP, `reread` reads the configuration again and returns the
+/// address of the change log.
 pub fn serve(
     signals: Signals,
     name: &str,
     startup: Startup<'_>,
     reread: impl Fn() -> Result<SocketAddr, String> + 'static,
 ) -> Result<(), String> {
-    let mut turns = EventLoop::<Dispatcher>::try_new().map_err(|e| format!("no event loop: {e}"))?;
-    let watched = turns.handle().insert_source(signals, move |signal, _, dispatcher| match signal.signal() {
-        Signal::SIGUSR1 => report(dispatcher),
-        Signal::SIGHUP => follow(dispatcher, reread()),
-        _ => dispatcher.stop(),
-    });
-    watched.map_err(|e| format!("signals can't be watched: {e}"))?;
-    let mut dispatcher = Dispatcher::start(turns.handle(), startup)?;
-    let address = dispatcher.address().map_err(|e| format!("the listener has no address: {e}"))?;
+    let mut event_loop = EventLoop::<Dispatcher>::try_new()
+        .map_err(|error| format!("cannot create the event loop: {error}"))?;
+    let registration =
+        event_loop.handle().insert_source(signals, move |signal, _, dispatcher| match signal.signal() {
+            Signal::SIGUSR1 => report(dispatcher),
+            Signal::SIGHUP => follow_change_log(dispatcher, reread()),
+            _ => dispatcher.stop(),
+        });
+    registration.map_err(|error| format!("cannot watch signals: {error}"))?;
+    let mut dispatcher = Dispatcher::start(event_loop.handle(), startup)?;
+    let address =
+        dispatcher.address().map_err(|error| format!("cannot read the address of the listener: {error}"))?;
     log::info!("{name} listens on {address}");
     while !dispatcher.is_done() {
-        turns.dispatch(dispatcher.patience(), &mut dispatcher).map_err(|e| format!("the event loop: {e}"))?;
+        event_loop
+            .dispatch(dispatcher.patience(), &mut dispatcher)
+            .map_err(|error| format!("the event loop failed: {error}"))?;
         dispatcher.turn();
     }
     report(&dispatcher);
     Ok(())
 }
 
-/// Follows the change log that was named anew; what can't be used changes nothing.
-fn follow(dispatcher: &mut Dispatcher, moved: Result<SocketAddr, String>) {
-    match &moved {
-        Ok(changelog) => log::info!("read anew: the change log is at {changelog}"),
-        Err(fault) => log::error!("not read anew, what was known stays: {fault}"),
+/// Switches to the change log of the reloaded configuration. A configuration that can't be used changes nothing.
+fn follow_change_log(dispatcher: &mut Dispatcher, reloaded: Result<SocketAddr, String>) {
+    match &reloaded {
+        Ok(changelog) => log::info!("configuration reloaded, following the change log at {changelog}"),
+        Err(error) => log::error!("configuration not reloaded, keeping the previous one: {error}"),
     }
-    dispatcher.follow(moved.ok());
+    dispatcher.follow(reloaded.ok());
 }
 
+/// Logs the counters and the resource usage of the process.
 fn report(dispatcher: &Dispatcher) {
     dispatcher.report();
-    log::info!("{}", usage::line(dispatcher.taken()));
+    log::info!("{}", usage::summary(dispatcher.taken()));
 }
--- a/crates/dispatcher/src/program/start.rs
+++ b/crates/dispatcher/src/program/start.rs
@@ -1,4 +1,4 @@
-//! What the program is told at its start, and what of it may change later.
+//! The configuration file of the dispatcher: its fields, and which of them a reload may change.
 
 use crate::routing::{Guards, Room, Startup};
 use myrtlegauge::interface::Settings;
@@ -7,8 +7,10 @@
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-const FILE: &str = "ROUTER_CONFIG";
+/// Environment variable with the path of the configuration file.
+const PATH_VARIABLE: &str = "ROUTER_CONFIG";
 
+/// The configuration file.
 #[derive(Deserialize)]
 pub struct ConfigFile<'a> {
     #[serde(borrow)]
@@ -25,50 +27,55 @@
     settings: Settings,
 }
 
+/// The resources that the dispatcher may use.
 #[derive(Deserialize, PartialEq)]
 struct Limits {
     memory_mb: f64,
     sockets: usize,
 }
 
-pub fn read() -> Result<String, String> {
-    let file = std::env::var(FILE).map_err(|_| format!("{FILE} is not set"))?;
-    std::fs::read_to_string(&file).map_err(|e| format!("{FILE} {file}: {e}"))
+/// Reads the file whose path is in the environment.
+pub fn read_file() -> Result<String, String> {
+    let path = std::env::var(PATH_VARIABLE).map_err(|_| format!("{PATH_VARIABLE} is not set"))?;
+    std::fs::read_to_string(&path).map_err(|error| format!("{PATH_VARIABLE} {path}: {error}"))
 }
 
-/// Where the change log is by a later file, and the fields in which that file differs from the one of the start
-/// without effect. The events known and the seed belong to a start and are passed over.
-pub fn moved(started: &str, text: &str) -> Result<(SocketAddr, Vec<&'static str>), String> {
-    let (was, is) = (ConfigFile::parse(started)?, ConfigFile::parse(text)?);
-    let same = [
-        ("name", was.name == is.name),
-        ("listen", was.listen == is.listen),
-        ("limits", was.limits == is.limits),
-        ("settings", was.settings == is.settings),
+/// Compares the file of a reload with the file of the start. Returns the address of the change log, and the names of the
+/// fields whose changes have no effect while the dispatcher runs. The known events and the seed apply to the start only and
+/// are not compared.
+pub fn reload(startup_text: &str, text: &str) -> Result<(SocketAddr, Vec<&'static str>), String> {
+    let (startup, current) = (ConfigFile::parse(startup_text)?, ConfigFile::parse(text)?);
+    let fields = [
+        ("name", startup.name == current.name),
+        ("listen", startup.listen == current.listen),
+        ("limits", startup.limits == current.limits),
+        ("settings", startup.settings == current.settings),
     ];
-    let kept = same.iter().filter(|(_, same)| !same).map(|(name, _)| *name).collect();
-    Ok((address("changelog", &is.changelog)?, kept))
+    let ignored_fields = fields.iter().filter(|(_, is_same)| !is_same).map(|(name, _)| *name).collect();
+    Ok((parse_address("changelog", &current.changelog)?, ignored_fields))
 }
 
-fn address(what: &str, told: &str) -> Result<SocketAddr, String> {
-    told.parse().map_err(|_| format!("{FILE}: {what} {told:?} is not an address"))
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr, String> {
+    text.parse().map_err(|_| format!("{PATH_VARIABLE}: {field} {text:?} is not an address"))
 }
 
 impl<'a> ConfigFile<'a> {
+    /// Parses the text of a configuration file.
     pub fn parse(text: &'a str) -> Result<Self, String> {
-        serde_json::from_str(text).map_err(|e| format!("{FILE}: {e}"))
+        serde_json::from_str(text).map_err(|error| format!("{PATH_VARIABLE}: {error}"))
     }
 
+    /// Converts the file into the parameters of a start.
     pub fn startup(&self) -> Result<Startup<'_>, String> {
         let seed = u64::from_str_radix(&self.seed, 16);
-        let known: Changes<'_> =
-            serde_json::from_str(self.known.get()).map_err(|e| format!("{FILE}: known: {e}"))?;
+        let known: Changes<'_> = serde_json::from_str(self.known.get())
+            .map_err(|error| format!("{PATH_VARIABLE}: known: {error}"))?;
         Ok(Startup {
-            listen: address("listen", &self.listen)?,
-            changelog: address("changelog", &self.changelog)?,
+            listen: parse_address("listen", &self.listen)?,
+            changelog: parse_address("changelog", &self.changelog)?,
             known,
             facts: &self.settings,
-            seed: seed.map_err(|_| format!("{FILE}: seed {:?} is not hexadecimal", self.seed))?,
+            seed: seed.map_err(|_| format!("{PATH_VARIABLE}: seed {:?} is not hexadecimal", self.seed))?,
             guards: Guards::ALL,
             zones: None,
             member: None,
--- a/crates/wire/src/change_log_client.rs
+++ b/crates/wire/src/change_log_client.rs
@@ -185,7 +185,7 @@
 
     /// Starts a connection attempt beside those that are pending. Returns true if none could be started.
     ///
-    /// On a network path where establishing a connection takes longer than the time-out of a silent one, attempts made one
+    /// On a network path where establishing a connection takes longer than the timeout of a silent one, attempts made one
     /// after the other would all time out. Parallel attempts prevent this, at the cost of a few descriptors while the
     /// change log is down.
     fn start_connect(
--- a/crates/wire/src/long_poll.rs
+++ b/crates/wire/src/long_poll.rs
@@ -1,5 +1,5 @@
 //! Long-poll client of a replica: one request at a time on a persistent connection. The caller decides on the query and
-//! the timeout. The platform's change log is polled by `change_log_client`, with its own rules for time-outs and retries.
+//! the timeout. The platform's change log is polled by `change_log_client`, with its own rules for timeouts and retries.
 
 use crate::protocol::{StreamError, changelog};
 use crate::transport::{Connection, EventLoopHandle, ReadOutcome, ReadinessHandler, ResourceUsage};
@@ -18,7 +18,7 @@
     /// The key under which the handler is notified.
     key: O::Key,
     connection: Option<Connection<O>>,
-    /// The time-out of the outstanding poll, if any.
+    /// The timeout of the outstanding poll, if any.
     timeout_at: Option<Duration>,
     /// The peer has closed the connection. The bytes received before may still be a complete answer.
     is_peer_closed: bool,
--- a/crates/wire/src/protocol/changelog.rs
+++ b/crates/wire/src/protocol/changelog.rs
@@ -6,9 +6,9 @@
 use std::borrow::Cow;
 use std::fmt::{Arguments, Write};
 
-/// Bytes of one answer; a list of a thousand hosts takes a fifth of it.
-const ANSWER_MOST: usize = 1024 * 1024;
-const HEADERS_MOST: usize = 32;
+/// Limit of the bytes of one answer. A list of a thousand hosts takes a fifth of it.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+const MAX_HEADERS: usize = 32;
 
 /// An answer of the change log: events, and the sequence number of the last one.
 #[derive(Debug, Deserialize)]
@@ -23,8 +23,10 @@
     /// All timestamps in these events, in Unix milliseconds by the wall clocks of other machines.
     pub fn remote_timestamps_ms(&self) -> impl Iterator<Item = f64> {
         self.results.iter().flat_map(|change| {
-            let lines = change.fleet.iter().flat_map(|fleet| &fleet.endpoints);
-            lines.filter_map(|line| line.since_ms).chain(change.invalidate.iter().map(|purge| purge.unix_ms))
+            let endpoints = change.fleet.iter().flat_map(|fleet| &fleet.endpoints);
+            endpoints
+                .filter_map(|endpoint| endpoint.since_ms)
+                .chain(change.invalidate.iter().map(|purge| purge.unix_ms))
         })
     }
 }
@@ -84,62 +86,63 @@
 /// A poll with the given query: replicas accept more fields than the platform's change log.
 pub fn poll_request_with_query(host: &str, query: Arguments<'_>) -> Bytes {
     let mut out = BytesMut::new();
-    let line = write!(out, "GET /changes?{query} HTTP/1.1\r\nHost: {host}\r\n\r\n");
-    line.expect("a buffer takes all that is written");
+    let written = write!(out, "GET /changes?{query} HTTP/1.1\r\nHost: {host}\r\n\r\n");
+    written.expect("writing to a buffer can't fail");
     out.freeze()
 }
 
 /// Takes the body of the next answer out of `inbound`, or returns `None` until the answer is complete.
 pub fn next_answer(inbound: &mut BytesMut) -> Result<Option<Bytes>, StreamError> {
-    if inbound.len() > ANSWER_MOST {
-        return Err(StreamError("an answer of the change log over the bound"));
+    if inbound.len() > MAX_ANSWER_BYTES {
+        return Err(StreamError("change log answer exceeds the size limit"));
     }
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let head = match response.parse(inbound) {
-        Ok(httparse::Status::Complete(head)) => head,
+    let head_length = match response.parse(inbound) {
+        Ok(httparse::Status::Complete(head_length)) => head_length,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(StreamError("an answer of the change log that is no HTTP")),
+        Err(_) => return Err(StreamError("change log answer is not valid HTTP")),
     };
     if response.code != Some(200) {
-        return Err(StreamError("a change log that answers with another status"));
+        return Err(StreamError("change log answer has a status other than 200"));
     }
-    let told = |name: &str| {
-        let header = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-        header.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim)
+    let header_value = |name: &str| {
+        let header = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+        header.and_then(|header| std::str::from_utf8(header.value).ok()).map(str::trim)
     };
-    if told("transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
-        return chunked(inbound, head);
+    if header_value("transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
+        return next_chunked_body(inbound, head_length);
     }
-    let long = told("content-length").and_then(|long| long.parse::<usize>().ok());
-    let long =
-        long.filter(|&long| long <= ANSWER_MOST).ok_or(StreamError("a change log without a length"))?;
-    if inbound.len() < head + long {
+    let length = header_value("content-length").and_then(|length| length.parse::<usize>().ok());
+    let length = length
+        .filter(|&length| length <= MAX_ANSWER_BYTES)
+        .ok_or(StreamError("change log answer has no valid content length"))?;
+    if inbound.len() < head_length + length {
         return Ok(None);
     }
-    inbound.advance(head);
-    Ok(Some(inbound.split_to(long).freeze()))
+    inbound.advance(head_length);
+    Ok(Some(inbound.split_to(length).freeze()))
 }
 
-/// Puts the chunks of a body together once they are all there.
-fn chunked(inbound: &mut BytesMut, head: usize) -> Result<Option<Bytes>, StreamError> {
-    let (mut at, mut body) = (head, BytesMut::new());
+/// Joins the chunks of a body and takes it out of `inbound`, or returns `None` until all chunks have arrived.
+fn next_chunked_body(inbound: &mut BytesMut, head_length: usize) -> Result<Option<Bytes>, StreamError> {
+    let (mut position, mut body) = (head_length, BytesMut::new());
     loop {
-        let (line, long) = match httparse::parse_chunk_size(&inbound[at..]) {
-            Ok(httparse::Status::Complete((line, long))) => (line, long),
+        let (size_line_length, length) = match httparse::parse_chunk_size(&inbound[position..]) {
+            Ok(httparse::Status::Complete((size_line_length, length))) => (size_line_length, length),
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(StreamError("a chunk of the change log without a length")),
+            Err(_) => return Err(StreamError("chunk of a change log answer has no valid length")),
         };
-        let long = usize::try_from(long).ok().filter(|&long| long <= ANSWER_MOST);
-        let long = long.ok_or(StreamError("a chunk of the change log over the bound"))?;
-        let end = at + line + long + 2;
+        let length = usize::try_from(length).ok().filter(|&length| length <= MAX_ANSWER_BYTES);
+        let length = length.ok_or(StreamError("chunk of a change log answer exceeds the size limit"))?;
+        let end = position + size_line_length + length + 2;
         if inbound.len() < end {
             return Ok(None);
         }
-        body.extend_from_slice(&inbound[at + line..at + line + long]);
-        at = end;
-        if long == 0 {
-            inbound.advance(at);
+        body.extend_from_slice(&inbound[position + size_line_length..position + size_line_length + length]);
+        position = end;
+        if length == 0 {
+            inbound.advance(position);
             return Ok(Some(body.freeze()));
         }
     }
--- a/crates/wire/src/protocol/fastcgi.rs
+++ b/crates/wire/src/protocol/fastcgi.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 const VERSION: u8 = 1;
-const HEADER: usize = 8;
+const HEADER_BYTES: usize = 8;
 pub(super) const RESPONDER: u16 = 1;
 pub(super) const KEEP_CONN: u8 = 1;
 
@@ -23,13 +23,13 @@
 pub(super) const OVERLOADED: u8 = 2;
 const UNKNOWN_ROLE: u8 = 3;
 
-/// Requests open on one connection, by the protocol page.
-const MOST_OPEN: usize = 32;
-/// Bytes of one request's parameters; what clients send takes a few hundred.
-const PARAMS_MOST: usize = 16 * 1024;
-/// Bytes of one request's body; the protocol page allows 48,000.
-const BODY_MOST: usize = 64 * 1024;
-/// Bytes of body in one STDOUT record.
+/// Limit of open requests on one connection, set by the protocol page.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Limit of the bytes of one request's parameters. Clients send a few hundred.
+const MAX_PARAMS_BYTES: usize = 16 * 1024;
+/// Limit of the bytes of one request's body. The protocol page allows 48,000.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Limit of the content bytes of one record that is written.
 pub(super) const MAX_RECORD_CONTENT: usize = 0xfff8;
 
 /// A complete request with the parameters that are used, as received.
@@ -71,22 +71,23 @@
     Reply(Bytes),
 }
 
+/// An incomplete request.
 #[derive(Default)]
-struct Partial {
+struct PartialRequest {
     number: u16,
     keep_conn: bool,
     params: BytesMut,
-    params_done: bool,
+    has_all_params: bool,
     body: BytesMut,
-    /// It is over for its client; what still comes of it is passed over.
-    refused: bool,
-    since: Duration,
+    /// The request was refused, and its remaining records are ignored.
+    is_refused: bool,
+    began_at: Duration,
 }
 
 /// Reads the requests of one connection and holds those that are still incomplete.
 #[derive(Default)]
 pub struct RequestReader {
-    partial: Vec<Partial>,
+    partial: Vec<PartialRequest>,
 }
 
 impl RequestReader {
@@ -100,11 +101,14 @@
         self.partial.is_empty()
     }
 
-    /// Refuses one incomplete request that began before `then` and returns its number.
-    pub fn refuse_older_than(&mut self, then: Duration) -> Option<u16> {
-        let old = self.partial.iter_mut().find(|partial| !partial.refused && partial.since < then)?;
-        old.refuse();
-        Some(old.number)
+    /// Refuses one incomplete request that began before `earliest_start` and returns its number.
+    pub fn refuse_older_than(&mut self, earliest_start: Duration) -> Option<u16> {
+        let expired = self
+            .partial
+            .iter_mut()
+            .find(|partial| !partial.is_refused && partial.began_at < earliest_start)?;
+        expired.refuse();
+        Some(expired.number)
     }
 
     /// The next message in the bytes received by `now`, or `None` until more bytes arrive. `open` lists the requests
@@ -117,9 +121,9 @@
     ) -> Result<Option<Message>, StreamError> {
         while let Some((kind, number, record)) = next_record(inbound)? {
             let message = if number == 0 {
-                management(kind, record)?
+                answer_management_record(kind, record)?
             } else {
-                self.record(kind, number, record, open, now)?
+                self.on_record(kind, number, record, open, now)?
             };
             if message.is_some() {
                 return Ok(message);
@@ -128,7 +132,8 @@
         Ok(None)
     }
 
-    fn record<T>(
+    /// Handles one record that belongs to a request.
+    fn on_record<T>(
         &mut self,
         kind: u8,
         number: u16,
@@ -136,62 +141,69 @@
         open: &[(u16, T)],
         now: Duration,
     ) -> Result<Option<Message>, StreamError> {
-        let is_open = open.iter().any(|(known, _)| *known == number);
-        let at = self.partial.iter().position(|p| p.number == number);
-        match (kind, at) {
+        let is_open = open.iter().any(|(open_number, _)| *open_number == number);
+        let index = self.partial.iter().position(|partial| partial.number == number);
+        match (kind, index) {
             (BEGIN_REQUEST, None) if record.len() == 8 && !is_open => {
                 let role = u16::from_be_bytes([record[0], record[1]]);
                 if role != RESPONDER {
-                    return Ok(Some(Message::Reply(end(number, UNKNOWN_ROLE))));
+                    return Ok(Some(Message::Reply(end_request(number, UNKNOWN_ROLE))));
                 }
-                if self.partial.len() + open.len() >= MOST_OPEN {
-                    return Ok(Some(Message::Reply(end(number, OVERLOADED))));
+                if self.partial.len() + open.len() >= MAX_OPEN_REQUESTS {
+                    return Ok(Some(Message::Reply(end_request(number, OVERLOADED))));
                 }
                 let keep_conn = record[2] & KEEP_CONN != 0;
-                self.partial.push(Partial { number, keep_conn, since: now, ..Partial::default() });
+                self.partial.push(PartialRequest {
+                    number,
+                    keep_conn,
+                    began_at: now,
+                    ..PartialRequest::default()
+                });
             }
-            (BEGIN_REQUEST, _) => return Err(StreamError("a FastCGI request begun twice or malformed")),
-            (ABORT_REQUEST, Some(at)) => {
-                let refused = self.partial.swap_remove(at).refused;
-                return Ok((!refused).then(|| Message::Reply(end(number, COMPLETE))));
+            (BEGIN_REQUEST, _) => {
+                return Err(StreamError("FastCGI begin record is malformed or repeats an open request"));
+            }
+            (ABORT_REQUEST, Some(index)) => {
+                let is_refused = self.partial.swap_remove(index).is_refused;
+                return Ok((!is_refused).then(|| Message::Reply(end_request(number, COMPLETE))));
             }
             (ABORT_REQUEST, None) if is_open => return Ok(Some(Message::Abort(number))),
-            (STDIN, Some(at)) if record.is_empty() => {
-                let partial = self.partial.swap_remove(at);
-                return Ok((!partial.refused).then(|| Message::Request(partial.whole())));
+            (STDIN, Some(index)) if record.is_empty() => {
+                let partial = self.partial.swap_remove(index);
+                return Ok((!partial.is_refused).then(|| Message::Request(partial.into_request())));
             }
-            (PARAMS | STDIN, Some(at)) if !self.partial[at].refused => {
-                let partial = &mut self.partial[at];
-                partial.params_done |= record.is_empty();
-                let (part, most) = match kind {
-                    PARAMS => (&mut partial.params, PARAMS_MOST),
-                    _ => (&mut partial.body, BODY_MOST),
+            (PARAMS | STDIN, Some(index)) if !self.partial[index].is_refused => {
+                let partial = &mut self.partial[index];
+                partial.has_all_params |= record.is_empty();
+                let (target, max_bytes) = match kind {
+                    PARAMS => (&mut partial.params, MAX_PARAMS_BYTES),
+                    _ => (&mut partial.body, MAX_BODY_BYTES),
                 };
-                if part.len() + record.len() > most || kind == STDIN && !partial.params_done {
+                if target.len() + record.len() > max_bytes || kind == STDIN && !partial.has_all_params {
                     partial.refuse();
                     return Ok(Some(Message::Refuse(number)));
                 }
-                part.extend_from_slice(&record);
+                target.extend_from_slice(&record);
             }
-            // Records of other kinds, and those of requests that are over, are passed over.
+            // Records of other types, and of requests that have ended, are ignored.
             _ => {}
         }
         Ok(None)
     }
 }
 
-impl Partial {
-    /// Gives back what it holds.
+impl PartialRequest {
+    /// Marks the request as refused and releases its buffers.
     fn refuse(&mut self) {
-        (self.refused, self.params, self.body) = (true, BytesMut::new(), BytesMut::new());
+        (self.is_refused, self.params, self.body) = (true, BytesMut::new(), BytesMut::new());
     }
 
-    fn whole(self) -> Request {
+    fn into_request(self) -> Request {
         let (params, body) = (self.params.freeze(), self.body.freeze());
         let size = params.len() + body.len();
         let (number, keep_conn) = (self.number, self.keep_conn);
         let mut request = Request { number, keep_conn, body, size, ..Request::default() };
-        let read = pairs(params, |name, value| {
+        let pairs_read = for_each_pair(params, |name, value| {
             let field = match &name[..] {
                 b"SCRIPT_NAME" => &mut request.path,
                 b"HTTP_REQUEST_ID" => &mut request.id,
@@ -207,35 +219,35 @@
             };
             *field = value;
         });
-        request.is_malformed = !self.params_done || read.is_none();
+        request.is_malformed = !self.has_all_params || pairs_read.is_none();
         request
     }
 }
 
 /// Takes the next complete record out of `inbound`: its type, the number of its request and its content.
 pub(super) fn next_record(inbound: &mut BytesMut) -> Result<Option<(u8, u16, Bytes)>, StreamError> {
-    if inbound.len() < HEADER {
+    if inbound.len() < HEADER_BYTES {
         return Ok(None);
     }
     if inbound[0] != VERSION {
-        return Err(StreamError("a FastCGI record of another version"));
+        return Err(StreamError("FastCGI record has an unsupported version"));
     }
     let (kind, number) = (inbound[1], u16::from_be_bytes([inbound[2], inbound[3]]));
-    let long = usize::from(u16::from_be_bytes([inbound[4], inbound[5]]));
-    let whole = HEADER + long + usize::from(inbound[6]);
-    if inbound.len() < whole {
-        inbound.reserve(whole - inbound.len());
+    let content_length = usize::from(u16::from_be_bytes([inbound[4], inbound[5]]));
+    let record_length = HEADER_BYTES + content_length + usize::from(inbound[6]);
+    if inbound.len() < record_length {
+        inbound.reserve(record_length - inbound.len());
         return Ok(None);
     }
-    let mut record = inbound.split_to(whole).freeze();
-    record.advance(HEADER);
-    record.truncate(long);
+    let mut record = inbound.split_to(record_length).freeze();
+    record.advance(HEADER_BYTES);
+    record.truncate(content_length);
     Ok(Some((kind, number, record)))
 }
 
-/// Reads name-value pairs; none where they don't fit their record.
-fn pairs(mut params: Bytes, mut each: impl FnMut(Bytes, Bytes)) -> Option<()> {
-    let length = |params: &mut Bytes| {
+/// Calls `on_pair` for each name-value pair. Returns `None` if a pair exceeds the end of the parameters.
+fn for_each_pair(mut params: Bytes, mut on_pair: impl FnMut(Bytes, Bytes)) -> Option<()> {
+    let read_length = |params: &mut Bytes| {
         let first = *params.first()?;
         if first < 0x80 {
             params.advance(1);
@@ -244,29 +256,34 @@
         (params.len() >= 4).then(|| params.get_u32() as usize & 0x7fff_ffff)
     };
     while !params.is_empty() {
-        let (name, value) = (length(&mut params)?, length(&mut params)?);
-        if name.checked_add(value)? > params.len() {
+        let (name_length, value_length) = (read_length(&mut params)?, read_length(&mut params)?);
+        if name_length.checked_add(value_length)? > params.len() {
             return None;
         }
-        let name = params.split_to(name);
-        each(name, params.split_to(value));
+        let name = params.split_to(name_length);
+        on_pair(name, params.split_to(value_length));
     }
     Some(())
 }
 
-/// Answers records that belong to no request. Of the values that may be asked for only the one that never changes
-/// is told; names left out are taken as unknown.
-fn management(kind: u8, record: Bytes) -> Result<Option<Message>, StreamError> {
-    const MULTIPLEXES: &[u8] = b"FCGI_MPXS_CONNS";
+/// Answers records that belong to no request. Of the values that can be queried, only `FCGI_MPXS_CONNS` is answered, since
+/// it never changes. Names that the answer omits count as unknown.
+fn answer_management_record(kind: u8, record: Bytes) -> Result<Option<Message>, StreamError> {
+    const MULTIPLEXES_NAME: &[u8] = b"FCGI_MPXS_CONNS";
     let mut out = BytesMut::new();
     if kind == GET_VALUES {
-        let mut asked = false;
-        pairs(record, |name, _| asked |= &name[..] == MULTIPLEXES)
-            .ok_or(StreamError("FastCGI values that can't be read"))?;
-        write_record_header(&mut out, GET_VALUES_RESULT, 0, if asked { MULTIPLEXES.len() + 3 } else { 0 });
-        if asked {
-            out.put_slice(&[MULTIPLEXES.len() as u8, 1]);
-            out.put_slice(MULTIPLEXES);
+        let mut is_queried = false;
+        for_each_pair(record, |name, _| is_queried |= &name[..] == MULTIPLEXES_NAME)
+            .ok_or(StreamError("FastCGI query of values is malformed"))?;
+        write_record_header(
+            &mut out,
+            GET_VALUES_RESULT,
+            0,
+            if is_queried { MULTIPLEXES_NAME.len() + 3 } else { 0 },
+        );
+        if is_queried {
+            out.put_slice(&[MULTIPLEXES_NAME.len() as u8, 1]);
+            out.put_slice(MULTIPLEXES_NAME);
             out.put_u8(b'1');
         }
     } else {
@@ -277,53 +294,53 @@
 }
 
 /// Writes the header of a record.
-pub(super) fn write_record_header(out: &mut BytesMut, kind: u8, number: u16, long: usize) {
-    debug_assert!(long <= 0xffff, "a record is at most 65,535 bytes");
+pub(super) fn write_record_header(out: &mut BytesMut, kind: u8, number: u16, content_length: usize) {
+    debug_assert!(content_length <= 0xffff, "the content of a record is at most 65,535 bytes");
     out.put_slice(&[VERSION, kind]);
     out.put_u16(number);
-    out.put_u16(long as u16);
+    out.put_u16(content_length as u16);
     out.put_u16(0);
 }
 
-/// Ends a request without an answer.
-fn end(number: u16, status: u8) -> Bytes {
+/// An `FCGI_END_REQUEST` record without a response before it.
+fn end_request(number: u16, status: u8) -> Bytes {
     let mut out = BytesMut::with_capacity(16);
-    put_end(&mut out, number, status);
+    write_end_request(&mut out, number, status);
     out.freeze()
 }
 
 /// The `FCGI_END_REQUEST` record of a request that its client aborted.
 pub fn end_request_aborted(number: u16) -> Bytes {
-    end(number, COMPLETE)
+    end_request(number, COMPLETE)
 }
 
 /// The `FCGI_END_REQUEST` record of a request that was never forwarded, so that a retry is safe.
 pub fn end_request_overloaded(number: u16) -> Bytes {
-    end(number, OVERLOADED)
+    end_request(number, OVERLOADED)
 }
 
-fn put_end(out: &mut BytesMut, number: u16, status: u8) {
+fn write_end_request(out: &mut BytesMut, number: u16, status: u8) {
     write_record_header(out, END_REQUEST, number, 8);
     out.put_slice(&[0, 0, 0, 0, status, 0, 0, 0]);
 }
 
-/// Writes a complete response: its head, the body without copying it, and the end. `out` receives the parts in order.
+/// Writes a complete response: its head, the body without copying it, and the end. `out` receives the pieces in order.
 pub fn write_response(
-    pen: &mut BytesMut,
+    buffer: &mut BytesMut,
     number: u16,
     head: &[u8],
     mut body: Bytes,
     mut out: impl FnMut(Bytes),
 ) {
-    write_record_header(pen, STDOUT, number, head.len());
-    pen.put_slice(head);
+    write_record_header(buffer, STDOUT, number, head.len());
+    buffer.put_slice(head);
     while !body.is_empty() {
-        let part = body.split_to(body.len().min(MAX_RECORD_CONTENT));
-        write_record_header(pen, STDOUT, number, part.len());
-        out(pen.split().freeze());
-        out(part);
+        let content = body.split_to(body.len().min(MAX_RECORD_CONTENT));
+        write_record_header(buffer, STDOUT, number, content.len());
+        out(buffer.split().freeze());
+        out(content);
     }
-    write_record_header(pen, STDOUT, number, 0);
-    put_end(pen, number, COMPLETE);
-    out(pen.split().freeze());
+    write_record_header(buffer, STDOUT, number, 0);
+    write_end_request(buffer, number, COMPLETE);
+    out(buffer.split().freeze());
 }
--- a/crates/wire/src/protocol/fastcgi_client.rs
+++ b/crates/wire/src/protocol/fastcgi_client.rs
@@ -7,31 +7,31 @@
 };
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Bytes of one answer: an object is at most 240,000, and a head a few hundred.
-const ANSWER_MOST: usize = 256 * 1024;
-/// Bytes of an answer's head.
-const HEAD_MOST: usize = 8 * 1024;
+/// Limit of the bytes of one response. An object has at most 240,000 bytes, and a head a few hundred.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
+/// Limit of the bytes of a response's head.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 /// Writes a complete request.
 pub fn write_request(out: &mut BytesMut, number: u16, params: &[(&str, &[u8])], body: &[u8]) {
     write_record_header(out, BEGIN_REQUEST, number, 8);
     out.put_u16(RESPONDER);
     out.put_slice(&[KEEP_CONN, 0, 0, 0, 0, 0]);
-    let mut told = BytesMut::new();
-    let length = |told: &mut BytesMut, long: usize| match u8::try_from(long) {
-        Ok(short @ 0..0x80) => told.put_u8(short),
-        _ => told.put_u32(long as u32 | 0x8000_0000),
+    let mut encoded_params = BytesMut::new();
+    let write_length = |out: &mut BytesMut, length: usize| match u8::try_from(length) {
+        Ok(short @ 0..0x80) => out.put_u8(short),
+        _ => out.put_u32(length as u32 | 0x8000_0000),
     };
     for (name, value) in params {
-        length(&mut told, name.len());
-        length(&mut told, value.len());
-        told.put_slice(name.as_bytes());
-        told.put_slice(value);
+        write_length(&mut encoded_params, name.len());
+        write_length(&mut encoded_params, value.len());
+        encoded_params.put_slice(name.as_bytes());
+        encoded_params.put_slice(value);
     }
-    for (kind, bytes) in [(PARAMS, &told[..]), (STDIN, body)] {
-        for part in bytes.chunks(MAX_RECORD_CONTENT) {
-            write_record_header(out, kind, number, part.len());
-            out.put_slice(part);
+    for (kind, bytes) in [(PARAMS, &encoded_params[..]), (STDIN, body)] {
+        for content in bytes.chunks(MAX_RECORD_CONTENT) {
+            write_record_header(out, kind, number, content.len());
+            out.put_slice(content);
         }
         write_record_header(out, kind, number, 0);
     }
@@ -58,6 +58,7 @@
 /// Reads the responses of one connection and holds those that are still incomplete.
 #[derive(Default)]
 pub struct ResponseReader {
+    /// Incomplete responses by the number of their request.
     partial: Vec<(u16, BytesMut)>,
 }
 
@@ -82,32 +83,32 @@
                 continue;
             }
             if !open(number) {
-                return Err(StreamError("an answer that belongs to no request"));
+                return Err(StreamError("FastCGI response belongs to no request"));
             }
-            let at = self.partial.iter().position(|(known, _)| *known == number);
+            let index = self.partial.iter().position(|(partial_number, _)| *partial_number == number);
             if kind == STDOUT {
-                let at = at.unwrap_or_else(|| {
+                let index = index.unwrap_or_else(|| {
                     self.partial.push((number, BytesMut::new()));
                     self.partial.len() - 1
                 });
-                let bytes = &mut self.partial[at].1;
-                if bytes.len() + record.len() > ANSWER_MOST {
-                    return Err(StreamError("an answer over the bound"));
+                let bytes = &mut self.partial[index].1;
+                if bytes.len() + record.len() > MAX_RESPONSE_BYTES {
+                    return Err(StreamError("FastCGI response exceeds the size limit"));
                 }
                 bytes.extend_from_slice(&record);
                 continue;
             }
             if record.len() != 8 {
-                return Err(StreamError("the end of a request that is malformed"));
+                return Err(StreamError("FastCGI end record is malformed"));
             }
-            let bytes = at.map(|at| self.partial.swap_remove(at).1).unwrap_or_default();
+            let bytes = index.map(|index| self.partial.swap_remove(index).1).unwrap_or_default();
             return match record[4] {
                 OVERLOADED => {
                     let (back_off_ms, body) = (None, Bytes::new());
                     Ok(Some(Response { number, status: None, back_off_ms, is_held_copy_valid: false, body }))
                 }
-                COMPLETE => read(number, bytes.freeze()).map(Some),
-                _ => Err(StreamError("an end that the protocol does not know")),
+                COMPLETE => parse_response(number, bytes.freeze()).map(Some),
+                _ => Err(StreamError("FastCGI end record has an unknown protocol status")),
             };
         }
         Ok(None)
@@ -115,33 +116,33 @@
 
     /// Discards the incomplete response to a request that was aborted.
     pub fn discard(&mut self, number: u16) {
-        self.partial.retain(|(known, _)| *known != number);
+        self.partial.retain(|(partial_number, _)| *partial_number != number);
     }
 }
 
-/// Reads the CGI response.
-fn read(number: u16, mut bytes: Bytes) -> Result<Response, StreamError> {
-    let bad = StreamError("an answer without a head");
-    let look = &bytes[..bytes.len().min(HEAD_MOST)];
-    let end = look.windows(4).position(|four| four == b"\r\n\r\n").ok_or(bad)?;
+/// Parses the head of a CGI response.
+fn parse_response(number: u16, mut bytes: Bytes) -> Result<Response, StreamError> {
+    let error = StreamError("FastCGI response has no complete head");
+    let head_range = &bytes[..bytes.len().min(MAX_HEAD_BYTES)];
+    let end = head_range.windows(4).position(|window| window == b"\r\n\r\n").ok_or(error)?;
     let head = bytes.split_to(end);
     bytes.advance(4);
-    let mut answer =
+    let mut response =
         Response { number, status: Some(200), back_off_ms: None, is_held_copy_valid: false, body: bytes };
-    for line in head.split(|&b| b == b'\n') {
+    for line in head.split(|&byte| byte == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        let Some(colon) = line.iter().position(|&b| b == b':') else {
-            return Err(StreamError("a line of an answer's head without a colon"));
+        let Some(colon) = line.iter().position(|&byte| byte == b':') else {
+            return Err(StreamError("header line of a FastCGI response has no colon"));
         };
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"status") {
             let code = value.get(..3).and_then(|code| std::str::from_utf8(code).ok()?.parse().ok());
-            answer.status = Some(code.ok_or(StreamError("an answer whose status is no number"))?);
+            response.status = Some(code.ok_or(StreamError("status of a FastCGI response is not a number"))?);
         } else if name.eq_ignore_ascii_case(b"back-off-ms") {
-            answer.back_off_ms = Some(head.slice_ref(value));
+            response.back_off_ms = Some(head.slice_ref(value));
         } else if name.eq_ignore_ascii_case(b"x-valid") {
-            answer.is_held_copy_valid = value == b"1";
+            response.is_held_copy_valid = value == b"1";
         }
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/crates/wire/src/protocol/resp.rs
+++ b/crates/wire/src/protocol/resp.rs
@@ -5,12 +5,13 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use std::fmt::Write;
 
-/// Bytes of an answer's id, status, fields and body; the protocol page allows objects of 240,000.
-const ELEMENT_MOST: [usize; ELEMENTS] = [ID_LONG, 16, 4096, 256 * 1024];
-/// Digits of an id.
-const ID_LONG: usize = 16;
-/// Bytes of one length line.
-const LINE_MOST: usize = 16;
+/// Limits of the bytes of a reply's id, status, fields and body. The protocol page allows objects of 240,000 bytes.
+const MAX_ELEMENT_BYTES: [usize; ELEMENTS] = [ID_DIGITS, 16, 4096, 256 * 1024];
+/// Hexadecimal digits of an id.
+const ID_DIGITS: usize = 16;
+/// Limit of the bytes of one length line.
+const MAX_LENGTH_LINE_BYTES: usize = 16;
+/// Elements of a reply.
 const ELEMENTS: usize = 4;
 
 /// One reply of a host.
@@ -25,64 +26,67 @@
 impl Reply {
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&[u8]> {
-        self.fields.split(|&b| b == b',').find_map(|field| {
-            let (key, value) = field.split_at(field.iter().position(|&b| b == b'=')?);
+        self.fields.split(|&byte| byte == b',').find_map(|field| {
+            let (key, value) = field.split_at(field.iter().position(|&byte| byte == b'=')?);
             (key == name.as_bytes()).then_some(&value[1..])
         })
     }
 }
 
-/// Reads a length line; none until it is whole. What comes back is the length and where the line ends.
-fn length(bytes: &[u8], from: usize, mark: u8) -> Result<Option<(usize, usize)>, StreamError> {
+/// Reads the length line that starts at `from`, or returns `None` until the line is complete. Returns the length and the
+/// position after the line.
+fn read_length(bytes: &[u8], from: usize, type_byte: u8) -> Result<Option<(usize, usize)>, StreamError> {
     let line = &bytes[from.min(bytes.len())..];
-    if line.first().is_some_and(|&b| b != mark) {
-        return Err(StreamError("a RESP answer that is no array of bulk strings"));
+    if line.first().is_some_and(|&byte| byte != type_byte) {
+        return Err(StreamError("RESP reply is not an array of bulk strings"));
     }
-    let Some(end) = line.iter().take(LINE_MOST).position(|&b| b == b'\n') else {
-        return if line.len() < LINE_MOST {
+    let Some(end) = line.iter().take(MAX_LENGTH_LINE_BYTES).position(|&byte| byte == b'\n') else {
+        return if line.len() < MAX_LENGTH_LINE_BYTES {
             Ok(None)
         } else {
-            Err(StreamError("a RESP length that does not end"))
+            Err(StreamError("RESP length line is not terminated"))
         };
     };
-    let digits = line[..end].strip_suffix(b"\r").and_then(|l| l.get(1..)).unwrap_or_default();
-    let digits = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
-    let long = digits.and_then(|d| d.parse().ok()).ok_or(StreamError("a RESP length that is no number"))?;
-    Ok(Some((long, from + end + 1)))
+    let digits = line[..end].strip_suffix(b"\r").and_then(|line| line.get(1..)).unwrap_or_default();
+    let digits =
+        std::str::from_utf8(digits).ok().filter(|digits| digits.bytes().all(|byte| byte.is_ascii_digit()));
+    let length =
+        digits.and_then(|digits| digits.parse().ok()).ok_or(StreamError("RESP length is not a number"))?;
+    Ok(Some((length, from + end + 1)))
 }
 
 /// Takes the next reply out of `inbound`, or returns `None` until the reply is complete.
 pub fn next_reply(inbound: &mut BytesMut) -> Result<Option<Reply>, StreamError> {
-    let Some((elements, mut at)) = length(inbound, 0, b'*')? else { return Ok(None) };
+    let Some((elements, mut position)) = read_length(inbound, 0, b'*')? else { return Ok(None) };
     if elements != ELEMENTS {
-        return Err(StreamError("a RESP answer of another number of elements"));
+        return Err(StreamError("RESP reply does not have four elements"));
     }
     let mut spans = [(0, 0); ELEMENTS];
-    for (span, most) in spans.iter_mut().zip(ELEMENT_MOST) {
-        let Some((long, from)) = length(inbound, at, b'$')? else { return Ok(None) };
-        if long > most {
-            return Err(StreamError("a RESP element over the bound"));
+    for (span, max_bytes) in spans.iter_mut().zip(MAX_ELEMENT_BYTES) {
+        let Some((length, from)) = read_length(inbound, position, b'$')? else { return Ok(None) };
+        if length > max_bytes {
+            return Err(StreamError("RESP element exceeds the size limit"));
         }
-        at = from + long + 2;
-        if inbound.len() < at {
-            inbound.reserve(at - inbound.len());
+        position = from + length + 2;
+        if inbound.len() < position {
+            inbound.reserve(position - inbound.len());
             return Ok(None);
         }
-        if &inbound[at - 2..at] != b"\r\n" {
-            return Err(StreamError("a RESP element that runs on"));
+        if &inbound[position - 2..position] != b"\r\n" {
+            return Err(StreamError("RESP element is longer than its length says"));
         }
-        *span = (from, from + long);
+        *span = (from, from + length);
     }
-    let whole = inbound.split_to(at).freeze();
-    let [id, status, fields, body] = spans.map(|(from, to)| whole.slice(from..to));
-    if id.len() != ID_LONG || !id.iter().all(u8::is_ascii_hexdigit) {
-        return Err(StreamError("a RESP answer under no id"));
+    let reply = inbound.split_to(position).freeze();
+    let [id, status, fields, body] = spans.map(|(from, to)| reply.slice(from..to));
+    if id.len() != ID_DIGITS || !id.iter().all(u8::is_ascii_hexdigit) {
+        return Err(StreamError("RESP reply has no valid id"));
     }
     Ok(Some(Reply { id, status, fields, body }))
 }
 
-fn element(out: &mut BytesMut, bytes: &[u8]) {
-    write!(out, "${}\r\n", bytes.len()).expect("a buffer takes all that is written");
+fn write_element(out: &mut BytesMut, bytes: &[u8]) {
+    write!(out, "${}\r\n", bytes.len()).expect("writing to a buffer can't fail");
     out.put_slice(bytes);
     out.put_slice(b"\r\n");
 }
@@ -90,13 +94,13 @@
 /// Writes a `serve` command.
 pub fn write_serve(out: &mut BytesMut, id: &[u8], fields: &[u8], body: &[u8]) {
     out.put_slice(b"*4\r\n$5\r\nserve\r\n");
-    element(out, id);
-    element(out, if fields.is_empty() { b"-" } else { fields });
-    element(out, body);
+    write_element(out, id);
+    write_element(out, if fields.is_empty() { b"-" } else { fields });
+    write_element(out, body);
 }
 
 /// Writes a `cancel` command.
 pub fn write_cancel(out: &mut BytesMut, id: &[u8]) {
     out.put_slice(b"*2\r\n$6\r\ncancel\r\n");
-    element(out, id);
+    write_element(out, id);
 }
--- a/crates/wire/src/transport/connection.rs
+++ b/crates/wire/src/transport/connection.rs
@@ -68,7 +68,11 @@
         let socket =
             Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
         match socket.connect(&address.into()) {
-            Err(e) if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock => Err(e),
+            Err(error)
+                if error.raw_os_error() != Some(IN_PROGRESS) && error.kind() != ErrorKind::WouldBlock =>
+            {
+                Err(error)
+            }
             _ => Self::register(event_loop, socket.into(), key, resource_usage, false),
         }
     }
@@ -196,9 +200,9 @@
             match (&*self.stream).write_vectored(slices) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => self.on_written(count),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
         Ok(())
@@ -257,8 +261,8 @@
                 total += count;
                 on_bytes(&read_buffer[..count]);
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::Drained,
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadOutcome::Drained,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return ReadOutcome::Closed,
         }
     }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -4,7 +4,7 @@
 
 use common::{HOSTS, Rig, record, request, settings};
 use insta::assert_snapshot;
-use myrtlegauge_dispatcher::program::{ConfigFile, moved};
+use myrtlegauge_dispatcher::program::{ConfigFile, reload};
 use myrtlegauge_dispatcher::routing::{Dispatcher, Room};
 use serde_json::json;
 
@@ -360,7 +360,7 @@
     let read = |name: &str, value: serde_json::Value| {
         let mut later = told.clone();
         later[name] = value;
-        format!("{name}: {:?}", moved(&told.to_string(), &later.to_string()))
+        format!("{name}: {:?}", reload(&told.to_string(), &later.to_string()))
     };
     let half = &told.to_string()[..200];
     let lines = [
@@ -369,7 +369,7 @@
         read("seed", json!("8d")),
         read("limits", json!({"memory_mb": 64, "sockets": 1024})),
         read("settings", json!({})),
-        format!("half: {:?}", moved(&told.to_string(), half).map_err(|e| e.starts_with("ROUTER_CONFIG: "))),
+        format!("half: {:?}", reload(&told.to_string(), half).map_err(|e| e.starts_with("ROUTER_CONFIG: "))),
     ];
     assert_snapshot!(lines.join("\n"));
 }
