--- a/crates/dispatcher/src/program/mod.rs
+++ b/crates/dispatcher/src/program/mod.rs
@@ -30,33 +30,33 @@
     let text = start::read_file()?;
     let config = start::ConfigFile::parse(&text)?;
     let startup_text = text.clone();
-    let reread = move || {
+    let reload_change_log = move || {
         let (changelog, ignored_fields) = start::read_file().and_then(|text| reload(&startup_text, &text))?;
         if !ignored_fields.is_empty() {
             log::warn!(
-                "configuration reload: {} can't change at run time, keeping the values from the start",
+                "configuration reload: {} cannot change at run time, keeping the values from the start",
                 ignored_fields.join(", ")
             );
         }
         Ok(changelog)
     };
-    serve(signals, &config.name, Startup { guards, ..config.startup()? }, reread)
+    serve(signals, &config.name, Startup { guards, ..config.startup()? }, reload_change_log)
 }
 
-/// Serves GETs until a signal stops the dispatcher. On SIGHUP, `reread` reads the configuration again and returns the
+/// Serves GETs until a signal stops the dispatcher. On SIGHUP, `reload_change_log` reads the configuration again and returns the
 /// address of the change log.
 pub fn serve(
     signals: Signals,
     name: &str,
     startup: Startup<'_>,
-    reread: impl Fn() -> Result<SocketAddr, String> + 'static,
+    reload_change_log: impl Fn() -> Result<SocketAddr, String> + 'static,
 ) -> Result<(), String> {
     let mut event_loop = EventLoop::<Dispatcher>::try_new()
         .map_err(|error| format!("cannot create the event loop: {error}"))?;
     let registration =
         event_loop.handle().insert_source(signals, move |signal, _, dispatcher| match signal.signal() {
             Signal::SIGUSR1 => report(dispatcher),
-            Signal::SIGHUP => follow_change_log(dispatcher, reread()),
+            Signal::SIGHUP => follow_change_log(dispatcher, reload_change_log()),
             _ => dispatcher.stop(),
         });
     registration.map_err(|error| format!("cannot watch signals: {error}"))?;
--- a/crates/wire/src/change_log_client.rs
+++ b/crates/wire/src/change_log_client.rs
@@ -17,7 +17,8 @@
 /// extend it. If an answer is incomplete at the timeout, the next poll has twice as long, because a slow network path is
 /// not a silent change log.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
-/// Upper limit of the doubled answer timeout: the longest wait for an answer that the protocol page specifies.
+/// Upper limit of the doubled answer timeout: the longest time for which an answer is held back, according
+/// to the protocol page.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(5000);
 /// Interval after which another connection attempt starts beside those that are pending. A change log that comes back with
 /// new events is therefore reached in under half a second. While it is down, each dispatcher sends one connection request
@@ -121,12 +122,12 @@
         if seq <= last {
             return SequenceCheck::Duplicate;
         }
-        let gap = seq != last + 1;
-        if gap && !self.accepts_after_gap(seq, now) {
+        let is_gap = seq != last + 1;
+        if is_gap && !self.accepts_after_gap(seq, now) {
             return SequenceCheck::GapRetried(last);
         }
         self.last_seq = seq;
-        if gap { SequenceCheck::GapAccepted(last) } else { SequenceCheck::Next }
+        if is_gap { SequenceCheck::GapAccepted(last) } else { SequenceCheck::Next }
     }
 
     /// Requests all events again, immediately, after a restart of the change log.
@@ -155,8 +156,8 @@
         resource_usage: &Rc<ResourceUsage>,
         now: Duration,
     ) -> bool {
-        let overdue = now >= self.deadline && (self.is_pending || !self.connect_attempts.is_empty());
-        if self.is_pending && overdue {
+        let is_overdue = now >= self.deadline && (self.is_pending || !self.connect_attempts.is_empty());
+        if self.is_pending && is_overdue {
             let is_partial =
                 self.connection.as_ref().is_some_and(|connection| connection.unparsed_bytes() > 0);
             self.answer_timeout =
@@ -164,10 +165,10 @@
             self.disconnect(now);
         }
         if now < self.deadline || self.is_pending {
-            return overdue;
+            return is_overdue;
         }
         let Some(connection) = &mut self.connection else {
-            return self.start_connect(event_loop, resource_usage, now) || overdue;
+            return self.start_connect(event_loop, resource_usage, now) || is_overdue;
         };
         let wait =
             if std::mem::take(&mut self.polls_immediately) { IMMEDIATE_POLL_WAIT } else { LONG_POLL_WAIT };
@@ -180,7 +181,7 @@
             self.disconnect(now);
             return true;
         }
-        overdue
+        is_overdue
     }
 
     /// Starts a connection attempt beside those that are pending. Returns true if none could be started.
--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -5,7 +5,7 @@
 use myrtlegauge::interface::duration_from_ms;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Distance of the epoch from the start of the program, so that times before the start are positive durations, too.
+/// Distance of the epoch from the start of the program, so that times before the start can be expressed as durations, too.
 const EPOCH_BEFORE_START: Duration = Duration::from_secs(3600);
 
 /// Monotonic clock that also converts Unix timestamps of other machines.
@@ -53,11 +53,11 @@
     }
 
     /// Converts a time to Unix milliseconds, which other programs can compare. Zero stands for no time and stays zero.
-    pub fn unix_ms(&self, at: Duration) -> u64 {
-        if at.is_zero() { 0 } else { self.unix_time(at).as_millis() as u64 }
+    pub fn unix_ms(&self, time: Duration) -> u64 {
+        if time.is_zero() { 0 } else { self.unix_time(time).as_millis() as u64 }
     }
 
-    fn unix_time(&self, at: Duration) -> Duration {
-        (self.start_unix + at).saturating_sub(EPOCH_BEFORE_START)
+    fn unix_time(&self, time: Duration) -> Duration {
+        (self.start_unix + time).saturating_sub(EPOCH_BEFORE_START)
     }
 }
--- a/crates/wire/src/host_registry.rs
+++ b/crates/wire/src/host_registry.rs
@@ -11,9 +11,10 @@
 pub struct HostRegistry {
     zones: Vec<String>,
     kinds: Vec<String>,
+    /// Indices of the registered hosts, by name.
     indices: HashMap<String, HostIndex>,
     /// Indices of unregistered hosts, for reuse.
-    free: Vec<HostIndex>,
+    free_indices: Vec<HostIndex>,
 }
 
 impl HostRegistry {
@@ -27,7 +28,12 @@
             let list = list.ok_or_else(|| format!("setting {name} is missing or not a list"))?;
             Ok(list.iter().map(|value| value.as_str().unwrap_or_default().to_owned()).collect())
         };
-        Ok(Self { zones: names("zones")?, kinds: names("kinds")?, indices: HashMap::new(), free: Vec::new() })
+        Ok(Self {
+            zones: names("zones")?,
+            kinds: names("kinds")?,
+            indices: HashMap::new(),
+            free_indices: Vec::new(),
+        })
     }
 
     /// Returns the index of a host and whether it was assigned by this call. A name keeps its index until it is
@@ -36,7 +42,7 @@
         if let Some(&index) = self.indices.get(name) {
             return (index, false);
         }
-        let index = self.free.pop().unwrap_or(self.indices.len());
+        let index = self.free_indices.pop().unwrap_or(self.indices.len());
         self.indices.insert(name.to_owned(), index);
         (index, true)
     }
@@ -54,7 +60,7 @@
     /// Removes a host and frees its index for reuse.
     pub fn unregister(&mut self, name: &[u8]) {
         let index = std::str::from_utf8(name).ok().and_then(|name| self.indices.remove(name));
-        self.free.extend(index);
+        self.free_indices.extend(index);
     }
 
     /// Converts an endpoint of the host list into an entry, and returns it with the error of the endpoint, if any.
@@ -69,7 +75,7 @@
     ) -> (HostEntry, Option<&'static str>) {
         let index_in = |list: &[String], name: &str, known: usize| match name {
             "" => Some(known),
-            _ => list.iter().position(|listed| listed == name),
+            _ => list.iter().position(|candidate| candidate == name),
         };
         let status = match &*endpoint.status {
             "active" => Ok(HostStatus::Active),
--- a/crates/wire/src/long_poll.rs
+++ b/crates/wire/src/long_poll.rs
@@ -18,7 +18,7 @@
     /// The key under which the handler is notified.
     key: O::Key,
     connection: Option<Connection<O>>,
-    /// The timeout of the outstanding poll, if any.
+    /// When the outstanding poll times out, if there is one.
     timeout_at: Option<Duration>,
     /// The peer has closed the connection. The bytes received before may still be a complete answer.
     is_peer_closed: bool,
@@ -80,6 +80,7 @@
         }
     }
 
+    /// Replaces the connection and queues the request on the new one.
     fn send_on_new_connection(
         &mut self,
         request: Bytes,
--- a/crates/wire/src/protocol/changelog.rs
+++ b/crates/wire/src/protocol/changelog.rs
@@ -65,6 +65,7 @@
     #[serde(borrow)]
     pub status: Cow<'a, str>,
     pub weight: Option<f64>,
+    /// When the host started, as a Unix timestamp.
     pub since_ms: Option<f64>,
 }
 
--- a/crates/wire/src/protocol/fastcgi.rs
+++ b/crates/wire/src/protocol/fastcgi.rs
@@ -9,6 +9,7 @@
 pub(super) const RESPONDER: u16 = 1;
 pub(super) const KEEP_CONN: u8 = 1;
 
+// Record types.
 pub(super) const BEGIN_REQUEST: u8 = 1;
 pub(super) const ABORT_REQUEST: u8 = 2;
 pub(super) const END_REQUEST: u8 = 3;
@@ -19,6 +20,7 @@
 const GET_VALUES_RESULT: u8 = 10;
 const UNKNOWN_TYPE: u8 = 11;
 
+// Protocol status values of an end record.
 pub(super) const COMPLETE: u8 = 0;
 pub(super) const OVERLOADED: u8 = 2;
 const UNKNOWN_ROLE: u8 = 3;
@@ -30,15 +32,19 @@
 /// Limit of the bytes of one request's body. The protocol page allows 48,000.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Limit of the content bytes of one record that is written.
-pub(super) const MAX_RECORD_CONTENT: usize = 0xfff8;
+pub(super) const MAX_RECORD_CONTENT_BYTES: usize = 0xfff8;
 
 /// A complete request with the parameters that are used, as received.
 #[derive(Debug, Default)]
 pub struct Request {
+    /// The FastCGI request id, unique among the open requests of the connection.
     pub number: u16,
+    /// The connection stays open after the response.
     pub keep_conn: bool,
     pub path: Bytes,
+    /// The id of this attempt.
     pub id: Bytes,
+    /// The time budget, in milliseconds.
     pub budget: Bytes,
     pub key: Bytes,
     pub chunk: Bytes,
@@ -87,6 +93,7 @@
 /// Reads the requests of one connection and holds those that are still incomplete.
 #[derive(Default)]
 pub struct RequestReader {
+    /// Incomplete requests.
     partial: Vec<PartialRequest>,
 }
 
@@ -335,7 +342,7 @@
     write_record_header(buffer, STDOUT, number, head.len());
     buffer.put_slice(head);
     while !body.is_empty() {
-        let content = body.split_to(body.len().min(MAX_RECORD_CONTENT));
+        let content = body.split_to(body.len().min(MAX_RECORD_CONTENT_BYTES));
         write_record_header(buffer, STDOUT, number, content.len());
         out(buffer.split().freeze());
         out(content);
--- a/crates/wire/src/protocol/fastcgi_client.rs
+++ b/crates/wire/src/protocol/fastcgi_client.rs
@@ -2,8 +2,8 @@
 
 use super::StreamError;
 use super::fastcgi::{
-    self, ABORT_REQUEST, BEGIN_REQUEST, COMPLETE, END_REQUEST, KEEP_CONN, MAX_RECORD_CONTENT, OVERLOADED,
-    PARAMS, RESPONDER, STDIN, STDOUT, write_record_header,
+    self, ABORT_REQUEST, BEGIN_REQUEST, COMPLETE, END_REQUEST, KEEP_CONN, MAX_RECORD_CONTENT_BYTES,
+    OVERLOADED, PARAMS, RESPONDER, STDIN, STDOUT, write_record_header,
 };
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
@@ -29,7 +29,7 @@
         encoded_params.put_slice(value);
     }
     for (kind, bytes) in [(PARAMS, &encoded_params[..]), (STDIN, body)] {
-        for content in bytes.chunks(MAX_RECORD_CONTENT) {
+        for content in bytes.chunks(MAX_RECORD_CONTENT_BYTES) {
             write_record_header(out, kind, number, content.len());
             out.put_slice(content);
         }
@@ -45,6 +45,7 @@
 /// A complete response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
+    /// The FastCGI request id.
     pub number: u16,
     /// The HTTP status, or `None` if the FastCGI end record says that the server is overloaded.
     pub status: Option<u16>,
--- a/crates/wire/src/transport/closing.rs
+++ b/crates/wire/src/transport/closing.rs
@@ -21,6 +21,7 @@
     max_connections: usize,
 }
 
+/// A connection in a lingering close.
 struct Entry<O: ReadinessHandler> {
     key: O::Key,
     connection: Connection<O>,
--- a/crates/wire/src/transport/connection.rs
+++ b/crates/wire/src/transport/connection.rs
@@ -38,12 +38,12 @@
     /// Total messages queued so far, which is the number of the next message.
     enqueued_messages: u64,
     /// A part of the first message in `outbound` is written.
-    is_first_begun: bool,
+    is_first_partly_written: bool,
     /// Bytes that wait in `outbound`.
     unsent_bytes: usize,
     /// Total bytes accepted by the operating system.
     written_bytes: u64,
-    is_up: bool,
+    is_established: bool,
 }
 
 impl<O: ReadinessHandler> Connection<O> {
@@ -82,7 +82,7 @@
         stream: TcpStream,
         key: O::Key,
         resource_usage: &Rc<ResourceUsage>,
-        is_up: bool,
+        is_established: bool,
     ) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
@@ -96,10 +96,10 @@
             inbound: BytesMut::new(),
             outbound: VecDeque::new(),
             enqueued_messages: 0,
-            is_first_begun: false,
+            is_first_partly_written: false,
             unsent_bytes: 0,
             written_bytes: 0,
-            is_up,
+            is_established,
         })
     }
 
@@ -108,13 +108,13 @@
     /// # Errors
     /// The connection attempt has failed.
     pub fn is_connected(&mut self) -> io::Result<bool> {
-        if !self.is_up {
+        if !self.is_established {
             if let Some(error) = self.stream.take_error()? {
                 return Err(error);
             }
-            self.is_up = self.stream.peer_addr().is_ok();
+            self.is_established = self.stream.peer_addr().is_ok();
         }
-        Ok(self.is_up)
+        Ok(self.is_established)
     }
 
     /// Reads the available bytes through a buffer that all connections share. Stops soon after `max_bytes` bytes, so that a
@@ -166,7 +166,7 @@
         let Some(index) = self.outbound.iter().position(|&(queued, _)| queued == number) else {
             return false;
         };
-        if index == 0 && self.is_first_begun {
+        if index == 0 && self.is_first_partly_written {
             return false;
         }
         let length = self.outbound.remove(index).map_or(0, |(_, bytes)| bytes.len());
@@ -216,8 +216,8 @@
         while let Some((_, first)) = self.outbound.front_mut().filter(|_| count > 0) {
             let written = count.min(first.len());
             count -= written;
-            self.is_first_begun = written < first.len();
-            if self.is_first_begun {
+            self.is_first_partly_written = written < first.len();
+            if self.is_first_partly_written {
                 let _ = first.split_to(written);
             } else {
                 self.outbound.pop_front();
--- a/crates/wire/src/transport/listener.rs
+++ b/crates/wire/src/transport/listener.rs
@@ -19,7 +19,7 @@
 }
 
 impl<O: ReadinessHandler> Listener<O> {
-    /// Binds and listens, also on an address that a process which has just ended was using.
+    /// Binds and listens, also on an address that was used by a process that has just ended.
     pub fn bind(
         event_loop: &EventLoopHandle<O>,
         address: SocketAddr,
--- a/crates/wire/tests/long_poll.rs
+++ b/crates/wire/tests/long_poll.rs
@@ -1,4 +1,5 @@
-//! The long poll of a replica against stand-ins on loopback: answered, refused, silent, lost, replaced.
+//! The long-poll client of a replica against fake replicas on loopback: polls that are answered, refused, timed out, lost or
+//! replaced.
 
 use bytes::Bytes;
 use calloop::EventLoop;
@@ -10,13 +11,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Far over what anything here takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Far above the duration of any step of these tests.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Default)]
-struct Stirred(bool);
+struct ReadyFlag(bool);
 
-impl ReadinessHandler for Stirred {
+impl ReadinessHandler for ReadyFlag {
     type Key = ();
 
     fn on_socket_ready(&mut self, (): ()) {
@@ -24,42 +25,49 @@
     }
 }
 
-struct Rig {
-    turns: EventLoop<'static, Stirred>,
-    hub: EventLoopHandle<Stirred>,
-    accounts: Rc<ResourceUsage>,
-    poll: LongPollClient<Stirred>,
-    began: Instant,
+/// A client with its event loop.
+struct TestClient {
+    event_loop: EventLoop<'static, ReadyFlag>,
+    event_loop_handle: EventLoopHandle<ReadyFlag>,
+    resource_usage: Rc<ResourceUsage>,
+    client: LongPollClient<ReadyFlag>,
+    started_at: Instant,
 }
 
-impl Rig {
+impl TestClient {
     fn new(address: SocketAddr) -> Self {
-        let turns = EventLoop::try_new().expect("a loop");
-        let hub = turns.handle();
-        let accounts = Rc::new(ResourceUsage::default());
-        Self { turns, hub, accounts, poll: LongPollClient::new(address, ()), began: Instant::now() }
+        let event_loop = EventLoop::try_new().expect("an event loop");
+        let event_loop_handle = event_loop.handle();
+        let resource_usage = Rc::new(ResourceUsage::default());
+        Self {
+            event_loop,
+            event_loop_handle,
+            resource_usage,
+            client: LongPollClient::new(address, ()),
+            started_at: Instant::now(),
+        }
     }
 
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    fn ask(&mut self, query: &str, patience: Duration) {
-        let give_up_at = self.now() + patience;
-        self.poll.start_poll(query, give_up_at, &self.hub, &self.accounts);
+    fn start_poll(&mut self, query: &str, timeout: Duration) {
+        let timeout_at = self.now() + timeout;
+        self.client.start_poll(query, timeout_at, &self.event_loop_handle, &self.resource_usage);
     }
 
-    /// Turns the loop until the poll is answered or has failed.
-    fn outcome(&mut self) -> Result<Bytes, StreamError> {
-        let (mut stirred, mut shared) = (Stirred::default(), vec![0; 4096]);
+    /// Runs the event loop until the poll is answered or has failed.
+    fn result(&mut self) -> Result<Bytes, StreamError> {
+        let (mut ready_flag, mut read_buffer) = (ReadyFlag::default(), vec![0; 4096]);
         loop {
-            if let Some(outcome) = self.poll.take_result(self.now()) {
-                return outcome;
+            if let Some(result) = self.client.take_result(self.now()) {
+                return result;
             }
-            let wait = self.poll.deadline().saturating_sub(self.now()).min(Duration::from_millis(10));
-            self.turns.dispatch(wait, &mut stirred).expect("the loop goes on");
-            while std::mem::take(&mut stirred.0) || self.poll.on_ready(&mut shared) {}
-            assert!(self.now() < PATIENCE, "neither answered nor failed");
+            let wait = self.client.deadline().saturating_sub(self.now()).min(Duration::from_millis(10));
+            self.event_loop.dispatch(wait, &mut ready_flag).expect("the event loop runs");
+            while std::mem::take(&mut ready_flag.0) || self.client.on_ready(&mut read_buffer) {}
+            assert!(self.now() < TEST_TIMEOUT, "the poll was neither answered nor failed");
         }
     }
 }
@@ -70,144 +78,152 @@
     (listener, address)
 }
 
-/// The head of the next request on a connection.
-fn request(stream: &mut TcpStream) -> String {
+/// Reads the head of the next request on a connection.
+fn read_request(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
         stream.read_exact(&mut byte).expect("a request");
         head.push(byte[0]);
     }
-    String::from_utf8(head).expect("a text")
+    String::from_utf8(head).expect("UTF-8")
 }
 
-fn answer(stream: &mut TcpStream, body: &str) {
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    stream.write_all(text.as_bytes()).expect("it is taken");
+fn write_answer(stream: &mut TcpStream, body: &str) {
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    stream.write_all(response.as_bytes()).expect("the peer accepts the bytes");
 }
 
 #[test]
-fn polls_are_answered_one_after_the_other_on_one_connection() {
+fn successive_polls_use_one_connection() {
     let (listener, address) = listener();
     let server = std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a poller");
+        let (mut stream, _) = listener.accept().expect("a connection of the client");
         for number in 0..3 {
-            let asked = request(&mut stream);
+            let head = read_request(&mut stream);
             assert!(
-                asked.starts_with(&format!("GET /changes?since={number}&role=probe HTTP/1.1\r\n")),
-                "{asked}"
+                head.starts_with(&format!("GET /changes?since={number}&role=probe HTTP/1.1\r\n")),
+                "{head}"
             );
-            answer(&mut stream, &format!("{{\"seq\":{number}}}"));
+            write_answer(&mut stream, &format!("{{\"seq\":{number}}}"));
         }
     });
-    let mut rig = Rig::new(address);
+    let mut test_client = TestClient::new(address);
     for number in 0..3 {
-        rig.ask(&format!("since={number}&role=probe"), PATIENCE);
-        assert_eq!(rig.outcome(), Ok(Bytes::from(format!("{{\"seq\":{number}}}"))));
-        assert!(!rig.poll.is_pending());
+        test_client.start_poll(&format!("since={number}&role=probe"), TEST_TIMEOUT);
+        assert_eq!(test_client.result(), Ok(Bytes::from(format!("{{\"seq\":{number}}}"))));
+        assert!(!test_client.client.is_pending());
     }
-    server.join().expect("it was asked as wanted");
+    server.join().expect("the server received the expected requests");
 }
 
 #[test]
-fn a_replica_that_is_not_there_is_told_at_once() {
-    let (gone, address) = listener();
-    drop(gone);
-    let mut rig = Rig::new(address);
-    rig.ask("since=0", PATIENCE);
-    assert!(rig.outcome().is_err_and(|StreamError(what)| what.contains("refuses")));
-    assert!(rig.now() < PATIENCE / 2);
+fn a_refused_connection_fails_immediately() {
+    let (closed_listener, address) = listener();
+    drop(closed_listener);
+    let mut test_client = TestClient::new(address);
+    test_client.start_poll("since=0", TEST_TIMEOUT);
+    assert!(test_client.result().is_err_and(|StreamError(reason)| reason.contains("refuses")));
+    assert!(test_client.now() < TEST_TIMEOUT / 2);
 }
 
 #[test]
-fn a_silent_replica_is_given_up_when_the_caller_says() {
-    let (_silent, address) = listener();
-    let mut rig = Rig::new(address);
-    rig.ask("since=0", Duration::from_millis(200));
-    assert!(rig.outcome().is_err_and(|StreamError(what)| what.contains("in time")));
-    assert!(rig.now() >= Duration::from_millis(200) && !rig.poll.is_pending());
+fn a_poll_of_a_silent_replica_times_out_at_the_given_time() {
+    let (_silent_listener, address) = listener();
+    let mut test_client = TestClient::new(address);
+    test_client.start_poll("since=0", Duration::from_millis(200));
+    assert!(test_client.result().is_err_and(|StreamError(reason)| reason.contains("in time")));
+    assert!(test_client.now() >= Duration::from_millis(200) && !test_client.client.is_pending());
 }
 
 #[test]
-fn a_connection_that_closes_before_its_answer_is_whole_is_lost() {
+fn a_connection_closed_before_the_answer_is_complete_fails_the_poll() {
     let (listener, address) = listener();
     let server = std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a poller");
-        request(&mut stream);
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"seq\"").expect("it is taken");
+        let (mut stream, _) = listener.accept().expect("a connection of the client");
+        read_request(&mut stream);
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"seq\"")
+            .expect("the peer accepts the bytes");
     });
-    let mut rig = Rig::new(address);
-    rig.ask("since=0", PATIENCE);
-    assert!(rig.outcome().is_err_and(|StreamError(what)| what.contains("lost")));
-    server.join().expect("it was asked");
+    let mut test_client = TestClient::new(address);
+    test_client.start_poll("since=0", TEST_TIMEOUT);
+    assert!(test_client.result().is_err_and(|StreamError(reason)| reason.contains("lost")));
+    server.join().expect("the server received the request");
 }
 
 #[test]
-fn a_kept_connection_that_has_closed_meanwhile_is_replaced() {
+fn an_idle_connection_closed_by_the_peer_is_replaced() {
     let (listener, address) = listener();
-    let (closes, closed) = std::sync::mpsc::channel();
+    let (close_sender, close_receiver) = std::sync::mpsc::channel();
     let server = std::thread::spawn(move || {
         for body in ["{\"seq\":1}", "{\"seq\":2}"] {
-            let (mut stream, _) = listener.accept().expect("a poller");
-            request(&mut stream);
-            answer(&mut stream, body);
+            let (mut stream, _) = listener.accept().expect("a connection of the client");
+            read_request(&mut stream);
+            write_answer(&mut stream, body);
             drop(stream);
-            closes.send(()).expect("the test waits for it");
+            close_sender.send(()).expect("the test still receives");
         }
     });
-    let mut rig = Rig::new(address);
-    rig.ask("since=0", PATIENCE);
-    assert_eq!(rig.outcome(), Ok(Bytes::from("{\"seq\":1}")));
-    closed.recv_timeout(PATIENCE).expect("the server has closed it");
-    rig.poll.on_ready(&mut [0; 4096]);
-    rig.ask("since=1", PATIENCE);
-    assert_eq!(rig.outcome(), Ok(Bytes::from("{\"seq\":2}")));
-    closed.recv_timeout(PATIENCE).expect("and the second");
-    server.join().expect("it was asked twice");
+    let mut test_client = TestClient::new(address);
+    test_client.start_poll("since=0", TEST_TIMEOUT);
+    assert_eq!(test_client.result(), Ok(Bytes::from("{\"seq\":1}")));
+    close_receiver.recv_timeout(TEST_TIMEOUT).expect("the server has closed the connection");
+    test_client.client.on_ready(&mut [0; 4096]);
+    test_client.start_poll("since=1", TEST_TIMEOUT);
+    assert_eq!(test_client.result(), Ok(Bytes::from("{\"seq\":2}")));
+    close_receiver.recv_timeout(TEST_TIMEOUT).expect("the server has closed the second connection");
+    server.join().expect("the server received both requests");
 }
 
 #[test]
-fn a_connection_that_closes_right_behind_its_answer_is_replaced() {
+fn a_connection_closed_right_after_its_answer_is_replaced() {
     let (listener, address) = listener();
-    let (closes, closed) = std::sync::mpsc::channel();
+    let (close_sender, close_receiver) = std::sync::mpsc::channel();
     let server = std::thread::spawn(move || {
         for body in ["1", "2"] {
-            let (mut stream, _) = listener.accept().expect("a poller");
-            request(&mut stream);
-            answer(&mut stream, body);
+            let (mut stream, _) = listener.accept().expect("a connection of the client");
+            read_request(&mut stream);
+            write_answer(&mut stream, body);
             drop(stream);
-            closes.send(()).expect("the test waits for it");
+            close_sender.send(()).expect("the test still receives");
         }
     });
-    let mut rig = Rig::new(address);
+    let mut test_client = TestClient::new(address);
     for (since, body) in [("since=0", "1"), ("since=1", "2")] {
-        rig.ask(since, PATIENCE);
-        rig.turns.dispatch(Some(PATIENCE), &mut Stirred::default()).expect("the loop goes on");
-        rig.poll.on_ready(&mut [0; 4096]);
-        // The answer and the end of the connection are read together.
-        closed.recv_timeout(PATIENCE).expect("the server has closed it");
-        assert_eq!(rig.outcome(), Ok(Bytes::from(body)));
+        test_client.start_poll(since, TEST_TIMEOUT);
+        test_client
+            .event_loop
+            .dispatch(Some(TEST_TIMEOUT), &mut ReadyFlag::default())
+            .expect("the event loop runs");
+        test_client.client.on_ready(&mut [0; 4096]);
+        // The answer and the end of the stream are read together.
+        close_receiver.recv_timeout(TEST_TIMEOUT).expect("the server has closed the connection");
+        assert_eq!(test_client.result(), Ok(Bytes::from(body)));
     }
-    server.join().expect("it was asked twice");
+    server.join().expect("the server received both requests");
 }
 
 #[test]
-fn a_new_poll_replaces_one_that_is_open() {
+fn a_new_poll_replaces_an_outstanding_one() {
     let (listener, address) = listener();
     let server = std::thread::spawn(move || {
-        let (mut first, _) = listener.accept().expect("a poller");
-        request(&mut first);
-        let (mut second, _) = listener.accept().expect("the same poller");
-        assert!(request(&mut second).contains("since=2"));
-        // What comes late to the one that was replaced reaches nobody.
+        let (mut first, _) = listener.accept().expect("a connection of the client");
+        read_request(&mut first);
+        let (mut second, _) = listener.accept().expect("a second connection of the client");
+        assert!(read_request(&mut second).contains("since=2"));
+        // A late answer to the replaced poll is ignored.
         let _ = first.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
-        answer(&mut second, "2");
+        write_answer(&mut second, "2");
     });
-    let mut rig = Rig::new(address);
-    rig.ask("since=1", PATIENCE);
-    rig.turns.dispatch(Some(Duration::from_millis(50)), &mut Stirred::default()).expect("the loop goes on");
-    rig.poll.on_ready(&mut vec![0; 4096]);
-    rig.ask("since=2", PATIENCE);
-    assert_eq!(rig.outcome(), Ok(Bytes::from("2")));
-    server.join().expect("it was asked as wanted");
+    let mut test_client = TestClient::new(address);
+    test_client.start_poll("since=1", TEST_TIMEOUT);
+    test_client
+        .event_loop
+        .dispatch(Some(Duration::from_millis(50)), &mut ReadyFlag::default())
+        .expect("the event loop runs");
+    test_client.client.on_ready(&mut vec![0; 4096]);
+    test_client.start_poll("since=2", TEST_TIMEOUT);
+    assert_eq!(test_client.result(), Ok(Bytes::from("2")));
+    server.join().expect("the server received the expected requests");
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Parsers without sockets: whole streams, every split of them, and noise.
+//! Parsers without sockets: complete streams, streams split at every position, and corrupted input.
 
 mod common;
 
@@ -8,65 +8,73 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// What comes of a stream that arrives in two parts, split anywhere, is what comes of it whole.
-fn same_at_every_split<M: Debug, P>(
+/// Checks that a stream yields the same messages when it arrives at once, in two parts split at any position, and byte by
+/// byte. Returns the messages.
+fn messages_at_every_split<M: Debug, P>(
     stream: &[u8],
-    parser: impl Fn() -> P,
-    next: impl Fn(&mut P, &mut BytesMut) -> Result<Option<M>, StreamError>,
+    new_parser: impl Fn() -> P,
+    next_message: impl Fn(&mut P, &mut BytesMut) -> Result<Option<M>, StreamError>,
 ) -> String {
-    let read = |parts: &[&[u8]]| {
-        let (mut state, mut inbound, mut read) = (parser(), BytesMut::new(), String::new());
+    let parse = |parts: &[&[u8]]| {
+        let (mut parser, mut inbound, mut messages) = (new_parser(), BytesMut::new(), String::new());
         for part in parts {
             inbound.extend_from_slice(part);
-            while let Some(message) = next(&mut state, &mut inbound).unwrap() {
-                read += &format!("{message:?}\n");
+            while let Some(message) = next_message(&mut parser, &mut inbound).unwrap() {
+                messages += &format!("{message:?}\n");
             }
         }
         assert!(inbound.is_empty(), "{} bytes left", inbound.len());
-        read
+        messages
     };
-    let whole = read(&[stream]);
-    for at in 0..stream.len() {
-        let (first, second) = stream.split_at(at);
-        assert_eq!(read(&[first, second]), whole, "split at {at}");
+    let expected = parse(&[stream]);
+    for position in 0..stream.len() {
+        let (first, second) = stream.split_at(position);
+        assert_eq!(parse(&[first, second]), expected, "split at {position}");
     }
-    assert_eq!(read(&stream.chunks(1).collect::<Vec<_>>()), whole, "byte by byte");
-    whole
+    assert_eq!(parse(&stream.chunks(1).collect::<Vec<_>>()), expected, "byte by byte");
+    expected
 }
 
 #[test]
-fn fastcgi_records_split_anywhere() {
+fn fastcgi_records_can_be_split_anywhere() {
     let params =
         [("SCRIPT_NAME", "/rpc/video"), ("HTTP_REQUEST_ID", "9b1f03aa5c7e2d41"), ("HTTP_X_TAG", "17")];
-    let (one, two) = (request(1, &params, b"a body"), request(2, &params[..2], b""));
-    // The records of both in turns, and an abort of a third that was only begun.
-    let third = [record(1, 3, &[0, 1, 1, 0, 0, 0, 0, 0]), record(2, 3, b"")].concat();
-    let (half_one, half_two) = (one.len() - 28, two.len() - 11);
-    let stream = [&one[..half_one], &two[..half_two], &third, &one[half_one..], &two[half_two..]].concat();
-    let read = same_at_every_split(&stream, fastcgi::RequestReader::default, |reader, inbound| {
+    let (first, second) = (request(1, &params, b"a body"), request(2, &params[..2], b""));
+    // The interleaved records of both, and an abort of a third request that has only begun.
+    let aborted = [record(1, 3, &[0, 1, 1, 0, 0, 0, 0, 0]), record(2, 3, b"")].concat();
+    let (first_split, second_split) = (first.len() - 28, second.len() - 11);
+    let stream = [
+        &first[..first_split],
+        &second[..second_split],
+        &aborted,
+        &first[first_split..],
+        &second[second_split..],
+    ]
+    .concat();
+    let messages = messages_at_every_split(&stream, fastcgi::RequestReader::default, |reader, inbound| {
         reader.next_message::<()>(inbound, &[], Duration::ZERO)
     });
-    insta::assert_snapshot!(read);
+    insta::assert_snapshot!(messages);
 }
 
 #[test]
-fn resp_answers_split_anywhere() {
+fn resp_replies_can_be_split_anywhere() {
     let stream = b"*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\n200\r\n$22\r\nwhy=TCP_HIT,rev=ab,x=1\r\n$8\r\na\r\n$2\r\n\0\r\n\
         *4\r\n$16\r\n0000000000000002\r\n$3\r\n404\r\n$1\r\n-\r\n$0\r\n\r\n";
-    insta::assert_snapshot!(same_at_every_split(stream, || (), |(), inbound| resp::next_reply(inbound)));
+    insta::assert_snapshot!(messages_at_every_split(stream, || (), |(), inbound| resp::next_reply(inbound)));
 }
 
 #[test]
-fn the_poll_of_the_platforms_change_log_is_written_as_its_page_says() {
+fn a_poll_request_of_the_change_log_has_the_documented_format() {
     let poll = changelog::poll_request("127.0.0.1:4222", 7, 500);
     assert_eq!(poll, "GET /changes?since=7&timeout=500 HTTP/1.1\r\nHost: 127.0.0.1:4222\r\n\r\n");
 }
 
 #[test]
-fn change_log_answers_split_anywhere() {
+fn change_log_answers_can_be_split_anywhere() {
     let stream = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n\
         5\r\n{\"seq\r\n4\r\n\":1}\r\n0\r\n\r\n";
-    insta::assert_snapshot!(same_at_every_split(
+    insta::assert_snapshot!(messages_at_every_split(
         stream,
         || (),
         |(), inbound| changelog::next_answer(inbound)
@@ -74,8 +82,8 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_a_fault() {
-    let mut faults = String::new();
+fn invalid_input_is_a_stream_error() {
+    let mut errors = String::new();
     for text in [
         "*3\r\n",
         "*4\r\n+OK\r\n",
@@ -87,7 +95,7 @@
         "*-1\r\n",
         "*4\r\n$+1\r\n",
     ] {
-        faults += &format!("{text:?}: {:?}\n", resp::next_reply(&mut text.into()));
+        errors += &format!("{text:?}: {:?}\n", resp::next_reply(&mut text.into()));
     }
     for text in [
         "HTTP/1.1 500 Oh\r\n\r\n",
@@ -95,53 +103,53 @@
         "nonsense\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
     ] {
-        faults += &format!("{text:?}: {:?}\n", changelog::next_answer(&mut text.into()));
+        errors += &format!("{text:?}: {:?}\n", changelog::next_answer(&mut text.into()));
     }
     let begin = record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]);
-    for (what, bytes) in [
-        ("begun twice", [&begin[..], &begin].concat()),
-        ("a short begin", record(1, 1, &[0])),
-        ("values", record(9, 0, b"\x09")),
+    for (case, bytes) in [
+        ("repeated begin record", [&begin[..], &begin].concat()),
+        ("short begin record", record(1, 1, &[0])),
+        ("truncated query of values", record(9, 0, b"\x09")),
     ] {
         let mut inbound = BytesMut::from(&bytes[..]);
-        faults += &format!(
-            "{what}: {:?}\n",
+        errors += &format!(
+            "{case}: {:?}\n",
             fastcgi::RequestReader::default()
                 .next_message::<()>(&mut inbound, &[], Duration::ZERO)
                 .unwrap_err()
         );
     }
-    insta::assert_snapshot!(faults);
+    insta::assert_snapshot!(errors);
 }
 
 #[test]
-fn noise_is_never_more_than_a_fault() {
-    let mut chance = fastrand::Rng::with_seed(11);
+fn corrupted_input_never_panics() {
+    let mut random = fastrand::Rng::with_seed(11);
     let params = [("SCRIPT_NAME", "/rpc/video"), ("HTTP_REQUEST_ID", "9b1f03aa5c7e2d41")];
-    let good = [
+    let valid = [
         request(1, &params, b"a body"),
         b"*4\r\n$16\r\n0000000000000001\r\n$3\r\n200\r\n$1\r\n-\r\n$1\r\nx\r\n".to_vec(),
     ];
     let http = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"seq\r\n0\r\n\r\n".to_vec();
-    for round in 0..30_000 {
-        let mut bytes: Vec<u8> = match round % 4 {
+    for iteration in 0..30_000 {
+        let mut bytes: Vec<u8> = match iteration % 4 {
             3 => {
-                let long = chance.usize(..200);
-                (0..long).map(|_| chance.u8(..)).collect()
+                let length = random.usize(..200);
+                (0..length).map(|_| random.u8(..)).collect()
             }
             2 => http.clone(),
-            kind => good[kind].clone(),
+            kind => valid[kind].clone(),
         };
-        for _ in 0..chance.usize(..4) {
-            if let Some(byte) = chance.choice(&mut bytes) {
-                *byte = chance.u8(..);
+        for _ in 0..random.usize(..4) {
+            if let Some(byte) = random.choice(&mut bytes) {
+                *byte = random.u8(..);
             }
         }
         let mut reader = fastcgi::RequestReader::default();
-        let fed = || BytesMut::from(&bytes[..]);
-        let (mut a, mut b, mut c) = (fed(), fed(), fed());
-        while let Ok(Some(_)) = reader.next_message(&mut a, &[(1, ())], Duration::ZERO) {}
-        while let Ok(Some(_)) = resp::next_reply(&mut b) {}
-        while let Ok(Some(_)) = changelog::next_answer(&mut c) {}
+        let input = || BytesMut::from(&bytes[..]);
+        let (mut fastcgi_input, mut resp_input, mut http_input) = (input(), input(), input());
+        while let Ok(Some(_)) = reader.next_message(&mut fastcgi_input, &[(1, ())], Duration::ZERO) {}
+        while let Ok(Some(_)) = resp::next_reply(&mut resp_input) {}
+        while let Ok(Some(_)) = changelog::next_answer(&mut http_input) {}
     }
 }
