--- a/crates/dispatcher/src/program/mod.rs
+++ b/crates/dispatcher/src/program/mod.rs
@@ -1,4 +1,5 @@
-//! The program around the router: its configuration file, read at the start and on SIGHUP, its event loop and its signals.
+//! The program around the router: its configuration file, read at the start and on SIGHUP, its event loop and its
+//! signals.
 
 mod start;
 mod usage;
@@ -12,8 +13,8 @@
 
 /// The signals that a dispatcher handles. From this call on, the operating system queues them for the event loop.
 ///
-/// Has to be called before anything else: SIGHUP ends a process that does not handle it, and a reload requested while the
-/// first configuration is read would be missed.
+/// Has to be called before anything else: SIGHUP ends a process that does not handle it, and a reload requested while
+/// the first configuration is read would be missed.
 pub fn signals() -> Result<Signals, String> {
     Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP])
         .map_err(|error| format!("cannot watch signals: {error}"))
@@ -43,8 +44,8 @@
     serve(signals, &config.name, Startup { guards, ..config.startup()? }, reload_change_log)
 }
 
-/// Serves GETs until a signal stops the dispatcher. On SIGHUP, `reload_change_log` reads the configuration again and returns the
-/// address of the change log.
+/// Serves GETs until a signal stops the dispatcher. On SIGHUP, `reload_change_log` reads the configuration again and
+/// returns the address of the change log.
 pub fn serve(
     signals: Signals,
     name: &str,
--- a/crates/dispatcher/src/program/start.rs
+++ b/crates/dispatcher/src/program/start.rs
@@ -40,9 +40,9 @@
     std::fs::read_to_string(&path).map_err(|error| format!("{PATH_VARIABLE} {path}: {error}"))
 }
 
-/// Compares the file of a reload with the file of the start. Returns the address of the change log, and the names of the
-/// fields whose changes have no effect while the dispatcher runs. The known events and the seed apply to the start only and
-/// are not compared.
+/// Compares the file of a reload with the file of the start. Returns the address of the change log, and the names of
+/// the fields whose changes have no effect while the dispatcher runs. The known events and the seed apply to the
+/// start only and are not compared.
 pub fn reload(startup_text: &str, text: &str) -> Result<(SocketAddr, Vec<&'static str>), String> {
     let (startup, current) = (ConfigFile::parse(startup_text)?, ConfigFile::parse(text)?);
     let fields = [
--- a/crates/wire/src/change_log_client.rs
+++ b/crates/wire/src/change_log_client.rs
@@ -8,27 +8,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the change log may hold back an answer while it has no new events. Short, because a connection that has gone
-/// silent delivers nothing, while an event counts as known as soon as it is in the change log.
+/// How long the change log may hold back an answer while it has no new events. Short, because a connection that has
+/// gone silent delivers nothing, while an event counts as known as soon as it is in the change log.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(500);
 /// The wait of the first poll and of a poll after a gap, which are to be answered immediately.
 const IMMEDIATE_POLL_WAIT: Duration = Duration::from_millis(1);
-/// Time beyond the wait after which a poll times out and its connection is closed. An answer that trickles in does not
-/// extend it. If an answer is incomplete at the timeout, the next poll has twice as long, because a slow network path is
-/// not a silent change log.
+/// Time beyond the wait after which a poll times out and its connection is closed. An answer that trickles in does
+/// not extend it. If an answer is incomplete at the timeout, the next poll has twice as long, because a slow network
+/// path is not a silent change log.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Upper limit of the doubled answer timeout: the longest time for which an answer is held back, according
 /// to the protocol page.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(5000);
-/// Interval after which another connection attempt starts beside those that are pending. A change log that comes back with
-/// new events is therefore reached in under half a second. While it is down, each dispatcher sends one connection request
-/// per interval.
+/// Interval after which another connection attempt starts beside those that are pending. A change log that comes back
+/// with new events is therefore reached in under half a second. While it is down, each dispatcher sends one
+/// connection request per interval.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(400);
-/// Time after which a pending connection attempt is dropped, so that up to four are pending at once. The operating system
-/// repeats a lost connection request after 1 s, and a slow network path takes half as long again.
+/// Time after which a pending connection attempt is dropped, so that up to four are pending at once. The operating
+/// system repeats a lost connection request after 1 s, and a slow network path takes half as long again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1600);
-/// Pause after a lost connection, or after an empty answer that came early. It prevents a flood of polls and is far below
-/// any grace for drains.
+/// Pause after a lost connection, or after an empty answer that came early. It prevents a flood of polls and is far
+/// below any grace for drains.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Limit of the bytes read from the change log in one iteration of the event loop.
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Requests the last event once more on each new connection. By this event the caller can recognize a change log that
-    /// restarted while the connection was lost and has reached the same sequence number again.
+    /// Requests the last event once more on each new connection. By this event the caller can recognize a change log
+    /// that restarted while the connection was lost and has reached the same sequence number again.
     pub fn with_overlap(mut self) -> Self {
         self.has_overlap = true;
         self
@@ -137,9 +137,9 @@
         self.deadline = now;
     }
 
-    /// Whether an event is accepted although events before it are missing. At the start it is. Later it is rejected the
-    /// first time, and the missing events are requested again on a new connection. The second time it is accepted, because
-    /// the change log no longer has the missing events.
+    /// Whether an event is accepted although events before it are missing. At the start it is. Later it is rejected
+    /// the first time, and the missing events are requested again on a new connection. The second time it is
+    /// accepted, because the change log no longer has the missing events.
     fn accepts_after_gap(&mut self, seq: u64, now: Duration) -> bool {
         let is_accepted =
             self.connection.is_none() || std::mem::replace(&mut self.retried_gap_seq, seq) == seq;
@@ -186,9 +186,9 @@
 
     /// Starts a connection attempt beside those that are pending. Returns true if none could be started.
     ///
-    /// On a network path where establishing a connection takes longer than the timeout of a silent one, attempts made one
-    /// after the other would all time out. Parallel attempts prevent this, at the cost of a few descriptors while the
-    /// change log is down.
+    /// On a network path where establishing a connection takes longer than the timeout of a silent one, attempts made
+    /// one after the other would all time out. Parallel attempts prevent this, at the cost of a few descriptors while
+    /// the change log is down.
     fn start_connect(
         &mut self,
         event_loop: &EventLoopHandle<O>,
--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -5,7 +5,8 @@
 use myrtlegauge::interface::duration_from_ms;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Distance of the epoch from the start of the program, so that times before the start can be expressed as durations, too.
+/// Distance of the epoch from the start of the program, so that times before the start can be expressed as durations,
+/// too.
 const EPOCH_BEFORE_START: Duration = Duration::from_secs(3600);
 
 /// Monotonic clock that also converts Unix timestamps of other machines.
--- a/crates/wire/src/host_registry.rs
+++ b/crates/wire/src/host_registry.rs
@@ -63,8 +63,8 @@
         self.free_indices.extend(index);
     }
 
-    /// Converts an endpoint of the host list into an entry, and returns it with the error of the endpoint, if any.
-    /// Fields that the endpoint omits keep the values of `known`. A host with an unknown status, zone or type is
+    /// Converts an endpoint of the host list into an entry, and returns it with the invalid part of the endpoint, if
+    /// any. Fields that the endpoint omits keep the values of `known`. A host with an unknown status, zone or type is
     /// treated as removed.
     pub fn resolve_entry(
         &self,
@@ -81,10 +81,12 @@
             "active" => Ok(HostStatus::Active),
             "leaving" => Ok(HostStatus::Draining),
             "left" => Ok(HostStatus::Removed),
-            _ => Err("its status is unknown"),
+            _ => Err("an unknown status"),
         };
-        let zone = index_in(&self.zones, &endpoint.zone, known.zone).ok_or("its zone is not in the settings");
-        let kind = index_in(&self.kinds, &endpoint.kind, known.kind).ok_or("its type is not in the settings");
+        let zone =
+            index_in(&self.zones, &endpoint.zone, known.zone).ok_or("a zone that is not in the settings");
+        let kind =
+            index_in(&self.kinds, &endpoint.kind, known.kind).ok_or("a type that is not in the settings");
         let error = status.err().or(zone.err()).or(kind.err());
         let entry = HostEntry {
             host: known.host,
--- a/crates/wire/src/long_poll.rs
+++ b/crates/wire/src/long_poll.rs
@@ -1,5 +1,6 @@
-//! Long-poll client of a replica: one request at a time on a persistent connection. The caller decides on the query and
-//! the timeout. The platform's change log is polled by `change_log_client`, with its own rules for timeouts and retries.
+//! Long-poll client of a replica: one request at a time on a persistent connection. The caller decides on the query
+//! and the timeout. The platform's change log is polled by `change_log_client`, with its own rules for timeouts and
+//! retries.
 
 use crate::protocol::{StreamError, changelog};
 use crate::transport::{Connection, EventLoopHandle, ReadOutcome, ReadinessHandler, ResourceUsage};
@@ -50,8 +51,8 @@
         self.timeout_at.is_some()
     }
 
-    /// When [`LongPollClient::take_result`] has a result at the latest: the timeout of the outstanding poll, zero if the
-    /// poll has failed, and `Duration::MAX` if none is outstanding.
+    /// When [`LongPollClient::take_result`] has a result at the latest: the timeout of the outstanding poll, zero if
+    /// the poll has failed, and `Duration::MAX` if none is outstanding.
     pub fn deadline(&self) -> Duration {
         if self.failure.is_some() { Duration::ZERO } else { self.timeout_at.unwrap_or(Duration::MAX) }
     }
--- a/crates/wire/src/protocol/fastcgi.rs
+++ b/crates/wire/src/protocol/fastcgi.rs
@@ -273,8 +273,8 @@
     Some(())
 }
 
-/// Answers records that belong to no request. Of the values that can be queried, only `FCGI_MPXS_CONNS` is answered, since
-/// it never changes. Names that the answer omits count as unknown.
+/// Answers records that belong to no request. Of the values that can be queried, only `FCGI_MPXS_CONNS` is answered,
+/// since it never changes. Names that the answer omits count as unknown.
 fn answer_management_record(kind: u8, record: Bytes) -> Result<Option<Message>, StreamError> {
     const MULTIPLEXES_NAME: &[u8] = b"FCGI_MPXS_CONNS";
     let mut out = BytesMut::new();
--- a/crates/wire/src/protocol/fastcgi_client.rs
+++ b/crates/wire/src/protocol/fastcgi_client.rs
@@ -69,8 +69,8 @@
         self.partial.iter().map(|(_, bytes)| bytes.len()).sum()
     }
 
-    /// The next complete response, or `None` until more bytes arrive. `open` returns whether a request of this number is
-    /// outstanding.
+    /// The next complete response, or `None` until more bytes arrive. `open` returns whether a request of this number
+    /// is outstanding.
     ///
     /// # Errors
     /// A response is invalid, exceeds a limit or belongs to no request. The connection can no longer be used.
--- a/crates/wire/src/protocol/resp.rs
+++ b/crates/wire/src/protocol/resp.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Reads the length line that starts at `from`, or returns `None` until the line is complete. Returns the length and the
-/// position after the line.
+/// Reads the length line that starts at `from`, or returns `None` until the line is complete. Returns the length and
+/// the position after the line.
 fn read_length(bytes: &[u8], from: usize, type_byte: u8) -> Result<Option<(usize, usize)>, StreamError> {
     let line = &bytes[from.min(bytes.len())..];
     if line.first().is_some_and(|&byte| byte != type_byte) {
--- a/crates/wire/src/transport/closing.rs
+++ b/crates/wire/src/transport/closing.rs
@@ -1,9 +1,9 @@
 //! Lingering close of connections: pending bytes are written, the write side is shut down, and incoming bytes are
 //! discarded until the peer closes too or a time limit expires.
 //!
-//! Closing a socket with unread bytes resets the connection, which destroys what the peer has not read yet. The lingering
-//! close prevents this. It costs a descriptor until the peer closes; above the limit the oldest connection is closed
-//! immediately.
+//! Closing a socket with unread bytes resets the connection, which destroys what the peer has not read yet. The
+//! lingering close prevents this. It costs a descriptor until the peer closes; above the limit the oldest connection
+//! is closed immediately.
 
 use super::{Connection, ReadOutcome, ReadinessHandler};
 use std::collections::VecDeque;
@@ -31,7 +31,8 @@
 }
 
 impl<O: ReadinessHandler> Entry<O> {
-    /// Writes and discards as much as possible. Returns whether the close is complete, and whether there may be more to read.
+    /// Writes and discards as much as possible. Returns whether the close is complete, and whether there may be more
+    /// to read.
     fn proceed(&mut self, read_buffer: &mut [u8]) -> (bool, bool) {
         if !self.is_half_closed {
             if self.connection.flush().is_err() {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Continues to close the connection registered under `key`. Returns whether there may be more to read, or `None` if
-    /// no such connection is being closed.
+    /// Continues to close the connection registered under `key`. Returns whether there may be more to read, or `None`
+    /// if no such connection is being closed.
     pub fn on_ready(&mut self, key: O::Key, read_buffer: &mut [u8]) -> Option<bool> {
         let index = self.list.iter().position(|entry| entry.key == key)?;
         let (is_complete, has_more) = self.list[index].proceed(read_buffer);
--- a/crates/wire/src/transport/connection.rs
+++ b/crates/wire/src/transport/connection.rs
@@ -117,8 +117,8 @@
         Ok(self.is_established)
     }
 
-    /// Reads the available bytes through a buffer that all connections share. Stops soon after `max_bytes` bytes, so that a
-    /// connection that always has more to read can't starve the others.
+    /// Reads the available bytes through a buffer that all connections share. Stops soon after `max_bytes` bytes, so
+    /// that a connection that always has more to read can't starve the others.
     pub fn read(&mut self, read_buffer: &mut [u8], max_bytes: usize) -> ReadOutcome {
         let Self { stream, inbound, resource_usage, .. } = self;
         receive(stream, read_buffer, max_bytes, |bytes| {
@@ -158,8 +158,8 @@
         self.outbound.front().is_none_or(|&(first, _)| number < first)
     }
 
-    /// Removes a message from the queue if none of its bytes were written. Returns false if a part was written, in which
-    /// case the rest follows, or if the message is no longer queued.
+    /// Removes a message from the queue if none of its bytes were written. Returns false if a part was written, in
+    /// which case the rest follows, or if the message is no longer queued.
     ///
     /// Without this, a peer that reads nothing for a while would still receive requests that were abandoned meanwhile.
     pub fn cancel_unsent(&mut self, number: u64) -> bool {
--- a/crates/wire/src/transport/mod.rs
+++ b/crates/wire/src/transport/mod.rs
@@ -20,7 +20,8 @@
 /// Handle of the event loop with which sockets are registered.
 pub type EventLoopHandle<O> = calloop::LoopHandle<'static, O>;
 
-/// Registers a socket with the event loop, which calls the handler when the socket can be read or, if requested, written.
+/// Registers a socket with the event loop, which calls the handler when the socket can be read or, if requested,
+/// written.
 fn register_socket<O: ReadinessHandler, S: AsFd + 'static>(
     event_loop: &EventLoopHandle<O>,
     socket: &Rc<S>,
--- a/crates/wire/tests/long_poll.rs
+++ b/crates/wire/tests/long_poll.rs
@@ -1,5 +1,5 @@
-//! The long-poll client of a replica against fake replicas on loopback: polls that are answered, refused, timed out, lost or
-//! replaced.
+//! The long-poll client of a replica against fake replicas on loopback: polls that are answered, refused, timed out,
+//! lost or replaced.
 
 use bytes::Bytes;
 use calloop::EventLoop;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -8,8 +8,8 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Checks that a stream yields the same messages when it arrives at once, in two parts split at any position, and byte by
-/// byte. Returns the messages.
+/// Checks that a stream yields the same messages when it arrives at once, in two parts split at any position, and
+/// byte by byte. Returns the messages.
 fn messages_at_every_split<M: Debug, P>(
     stream: &[u8],
     new_parser: impl Fn() -> P,
