--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -4,7 +4,7 @@
 
 use common::{DispatcherRig, HOSTS, record, request, settings};
 use insta::assert_snapshot;
-use myrtlegauge_dispatcher::program::{ConfigFile, moved};
+use myrtlegauge_dispatcher::program::{ConfigFile, reload};
 use myrtlegauge_dispatcher::routing::{Dispatcher, Room};
 use serde_json::json;
 
@@ -364,7 +364,7 @@
     let change = |name: &str, value: serde_json::Value| {
         let mut later = config.clone();
         later[name] = value;
-        format!("{name}: {:?}", moved(&config.to_string(), &later.to_string()))
+        format!("{name}: {:?}", reload(&config.to_string(), &later.to_string()))
     };
     let truncated = &config.to_string()[..200];
     let lines = [
@@ -375,7 +375,7 @@
         change("settings", json!({})),
         format!(
             "truncated: {:?}",
-            moved(&config.to_string(), truncated).map_err(|error| error.starts_with("ROUTER_CONFIG: "))
+            reload(&config.to_string(), truncated).map_err(|error| error.starts_with("ROUTER_CONFIG: "))
         ),
     ];
     assert_snapshot!(lines.join("\n"));
