--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,4 +1,4 @@
-//! The traffic router on sockets, by layer, each of which knows only those before it: transport and protocol (of
+//! The traffic router on sockets, in layers of which each uses only those listed before it: transport and protocol (in
 //! `myrtlegauge-wire`), routing, program.
 
 pub mod program;
--- a/crates/dispatcher/src/program/mod.rs
+++ b/crates/dispatcher/src/program/mod.rs
@@ -57,8 +57,10 @@
     let address = dispatcher.address().map_err(|e| format!("the listener has no address: {e}"))?;
     log::info!("{name} listens on {address}");
     while !dispatcher.is_done() {
-        turns.dispatch(dispatcher.patience(), &mut dispatcher).map_err(|e| format!("the event loop: {e}"))?;
-        dispatcher.turn();
+        turns
+            .dispatch(dispatcher.poll_timeout(), &mut dispatcher)
+            .map_err(|e| format!("the event loop: {e}"))?;
+        dispatcher.process_events();
     }
     report(&dispatcher);
     Ok(())
@@ -70,10 +72,10 @@
         Ok(changelog) => log::info!("read anew: the change log is at {changelog}"),
         Err(fault) => log::error!("not read anew, what was known stays: {fault}"),
     }
-    dispatcher.follow(moved.ok());
+    dispatcher.set_change_log_address(moved.ok());
 }
 
 fn report(dispatcher: &Dispatcher) {
     dispatcher.report();
-    log::info!("{}", usage::line(dispatcher.taken()));
+    log::info!("{}", usage::line(dispatcher.gets_taken()));
 }
--- a/crates/dispatcher/src/program/start.rs
+++ b/crates/dispatcher/src/program/start.rs
@@ -1,6 +1,6 @@
 //! What the program is told at its start, and what of it may change later.
 
-use crate::routing::{Guards, Room, Startup};
+use crate::routing::{Guards, ResourceLimits, Startup};
 use myrtlegauge::interface::Settings;
 use myrtlegauge_wire::protocol::changelog::Changes;
 use serde::Deserialize;
@@ -65,17 +65,17 @@
             serde_json::from_str(self.known.get()).map_err(|e| format!("{FILE}: known: {e}"))?;
         Ok(Startup {
             listen: address("listen", &self.listen)?,
-            changelog: address("changelog", &self.changelog)?,
-            known,
-            facts: &self.settings,
+            change_log: address("changelog", &self.changelog)?,
+            known_changes: known,
+            settings: &self.settings,
             seed: seed.map_err(|_| format!("{FILE}: seed {:?} is not hexadecimal", self.seed))?,
             guards: Guards::ALL,
             zones: None,
             member: None,
             replicas: None,
-            room: Room {
+            resource_limits: ResourceLimits {
                 descriptors: self.limits.sockets,
-                memory: (self.limits.memory_mb * 1024.0 * 1024.0) as usize,
+                memory_bytes: (self.limits.memory_mb * 1024.0 * 1024.0) as usize,
             },
         })
     }
--- a/crates/dispatcher/src/routing/answers.rs
+++ b/crates/dispatcher/src/routing/answers.rs
@@ -1,11 +1,11 @@
-//! The clients' side of the proxy: requests in, answers out.
+//! The client side of the proxy: parses requests and writes answers.
 
-use super::clients::{Answer, Client, Owed};
+use super::clients::{Client, ClientResponse, OpenRequest};
 use super::codec;
-use super::in_flight::Pending;
+use super::in_flight::PendingGet;
 use super::lifecycle::State;
-use super::proxy::{Asked, Proxy};
-use super::{Key, Who};
+use super::proxy::{Proxy, QueuedRequest};
+use super::{ConnectionKey, EventSource};
 use bytes::Bytes;
 use myrtlegauge::interface::{Get, GetIndex};
 use myrtlegauge_wire::protocol::fastcgi::{self, Message, Request};
@@ -13,79 +13,82 @@
 use std::time::Duration;
 
 impl Proxy {
-    /// Reads all that came from clients. Whoever has left or called off is known before anything that came with it, or was
-    /// decided meanwhile, is sent on.
+    /// Parses all data received from clients. Disconnects and cancellations are thus known before any request received
+    /// with them, or any forward decided meanwhile, is sent.
     pub fn parse_clients(&mut self) {
-        while let Some(key) = self.heard_clients.pop_front() {
-            self.parse_all_of(key);
+        while let Some(key) = self.readable_clients.pop_front() {
+            self.parse_client(key);
         }
     }
 
-    /// Reads all that came from one client, and ends no other's connection.
-    pub fn parse_all_of(&mut self, key: Key) {
-        while self.parse_client(key) {}
+    /// Parses all data received from one client. It closes no other client's connection.
+    pub fn parse_client(&mut self, key: ConnectionKey) {
+        while self.parse_next_message(key) {}
     }
 
-    /// The next message of a client; false: nothing more has come.
-    fn parse_client(&mut self, key: Key) -> bool {
-        let (full, share) = (self.is_full_of_requests(), self.share_of_requests());
-        let closing = self.lifecycle.state() == State::Closing;
-        let Self { clients, accounts, now, counters, dirty, .. } = self;
+    /// Handles the next message of a client. Returns false if no complete message is left.
+    fn parse_next_message(&mut self, key: ConnectionKey) -> bool {
+        let (is_memory_full, bytes_per_client) =
+            (self.is_request_memory_full(), self.request_bytes_per_client());
+        let is_closing = self.lifecycle.state() == State::Closing;
+        let Self { clients, resource_usage, now, counters, pending_writes, .. } = self;
         let Some(client) = clients.get_mut(key) else { return false };
-        if client.reads_no_further {
+        if client.ignores_input {
             client.connection.parse(|inbound| inbound.clear());
-            if client.ended {
+            if client.has_ended {
                 self.drop_client(key);
-            } else if client.quiet() {
+            } else if client.is_drained() {
                 self.close_client(key);
             }
             return false;
         }
-        match client.next(&accounts.request_bytes, *now) {
+        match client.next_message(&resource_usage.request_bytes, *now) {
             Ok(Some(Message::Request(request))) => {
                 let Request { number, keep_conn, size, .. } = request;
-                client.asked = true;
-                client.last |= !keep_conn;
-                if closing || full && client.holds() + size > share {
-                    // It was never sent on: trying again, elsewhere, is harmless.
+                client.has_sent_request = true;
+                client.closes_after_answers |= !keep_conn;
+                if is_closing || is_memory_full && client.request_bytes() + size > bytes_per_client {
+                    // The request was not forwarded, so the client can safely retry it elsewhere.
                     counters.refused += 1;
                     client.connection.enqueue(fastcgi::end_request_overloaded(number));
-                    dirty.push(Who::Client(key));
+                    pending_writes.push(EventSource::Client(key));
                 } else {
-                    accounts.request_bytes.add(size);
-                    client.open.push((number, Owed { place: None, long: size }));
-                    self.asked.push_back(Asked { key, request });
+                    resource_usage.request_bytes.add(size);
+                    client.open_requests.push((number, OpenRequest { get_index: None, size_bytes: size }));
+                    self.queued_requests.push_back(QueuedRequest { key, request });
                 }
             }
             Ok(Some(Message::Reply(bytes))) => {
                 client.connection.enqueue(bytes);
-                dirty.push(Who::Client(key));
+                pending_writes.push(EventSource::Client(key));
             }
             Ok(Some(Message::Abort(number))) => {
-                if let Some(owed) = client.close(number) {
+                if let Some(request) = client.close_request(number) {
                     client.connection.enqueue(fastcgi::end_request_aborted(number));
-                    dirty.push(Who::Client(key));
-                    self.call_off(key, number, owed);
+                    pending_writes.push(EventSource::Client(key));
+                    self.cancel_request(key, number, request);
                 }
             }
-            Ok(Some(Message::Refuse(number))) => self.refuse(key, number),
+            Ok(Some(Message::Refuse(number))) => self.refuse_request(key, number),
             Ok(None) => {
-                if full && client.holds() > share {
-                    while let Some(number) = client.refuse_older(&accounts.request_bytes, Duration::MAX) {
+                if is_memory_full && client.request_bytes() > bytes_per_client {
+                    while let Some(number) =
+                        client.refuse_older_than(&resource_usage.request_bytes, Duration::MAX)
+                    {
                         counters.refused += 1;
                         client.connection.enqueue(fastcgi::end_request_overloaded(number));
-                        dirty.push(Who::Client(key));
+                        pending_writes.push(EventSource::Client(key));
                     }
                 }
-                if client.ended {
+                if client.has_ended {
                     self.drop_client(key);
-                } else if client.last && client.quiet() {
+                } else if client.closes_after_answers && client.is_drained() {
                     self.close_client(key);
                 }
                 return false;
             }
-            Err(StreamError(what)) => {
-                self.fault(format_args!("a client's connection is closed: {what}"));
+            Err(StreamError(error)) => {
+                self.report_fault(format_args!("invalid data on a client's connection, closing it: {error}"));
                 self.close_client(key);
                 return false;
             }
@@ -93,118 +96,136 @@
         true
     }
 
-    /// A request that broke a bound or did not become whole is answered at once; its connection is closed once
-    /// nothing else is open there, for what follows is of no use. Usual clients send a request in one go.
-    pub fn refuse(&mut self, key: Key, number: u16) {
+    /// Answers at once a request that exceeded a limit or was not completed in time. Its connection is closed once no
+    /// other request is open there, since the following data can't be used. Ordinary clients send a request in one
+    /// piece.
+    pub fn refuse_request(&mut self, key: ConnectionKey, number: u16) {
         self.counters.unusable += 1;
-        self.fault(format_args!("a request broke a bound or did not become whole"));
+        self.report_fault(format_args!(
+            "a request exceeded a limit or was not completed in time; answering 400 and closing its connection"
+        ));
         if let Some(client) = self.clients.get_mut(key) {
-            client.last = true;
+            client.closes_after_answers = true;
         }
-        self.write_answer(key, number, &Answer::Unusable);
+        self.write_answer(key, number, &ClientResponse::Unusable);
     }
 
-    /// Takes a request, if it is a GET that can be used; anything else is answered here.
-    pub fn take(&mut self, key: Key, place: GetIndex, mut request: Request) -> Option<Get> {
-        request.held_version = codec::bare(&request.held_version);
-        let (number, long) = (request.number, request.size);
-        let (mut get, id) = (self.codec.get(&request), codec::hex(&request.id).unwrap_or_default());
+    /// Takes a request if it is a valid GET. Any other request is answered here.
+    pub fn accept_request(
+        &mut self,
+        key: ConnectionKey,
+        get_index: GetIndex,
+        mut request: Request,
+    ) -> Option<Get> {
+        request.held_version = codec::strip_etag_quotes(&request.held_version);
+        let (number, size_bytes) = (request.number, request.size);
+        let (mut get, id) = (self.codec.get(&request), codec::parse_hex(&request.id).unwrap_or_default());
         if let (Some(get), Some(zones)) = (&mut get, &self.zones) {
-            get.in_shed_fraction = zones.is_over(myrtlegauge::snapshot::ring_key(get.object, get.part));
+            get.in_shed_fraction =
+                zones.is_in_shed_fraction(myrtlegauge::snapshot::ring_key(get.object, get.part));
         }
-        // Two GETs under one id would take each other's answers at a host.
-        let twice = get.is_some() && self.in_flight.holds(id);
-        self.counters.twice += u64::from(twice);
-        let get = get.filter(|_| !twice);
-        let ready = self.is_ready();
-        let health = get.is_none() && &request.path[..] == b"/health";
+        // Hosts match replies by id, so two GETs with the same id would receive each other's replies.
+        let is_duplicate = get.is_some() && self.in_flight.contains_id(id);
+        self.counters.duplicate_ids += u64::from(is_duplicate);
+        let get = get.filter(|_| !is_duplicate);
+        let is_ready = self.is_ready();
+        let is_health_check = get.is_none() && &request.path[..] == b"/health";
         let Some(mut get) = get else {
-            let answer = if health { Answer::Healthy(ready) } else { Answer::Unusable };
-            self.counters.health += u64::from(health);
-            self.counters.unusable += u64::from(!health);
-            if !health {
+            let response =
+                if is_health_check { ClientResponse::Healthy(is_ready) } else { ClientResponse::Unusable };
+            self.counters.health += u64::from(is_health_check);
+            self.counters.unusable += u64::from(!is_health_check);
+            if !is_health_check {
                 let path = request.path.escape_ascii();
-                self.fault(format_args!("a request for {path} can't be used"));
+                self.report_fault(format_args!("invalid request for {path}, answering 400"));
             }
-            self.accounts.request_bytes.subtract(long);
-            self.clients.get_mut(key)?.close(number);
-            self.write_answer(key, number, &answer);
+            self.resource_usage.request_bytes.subtract(size_bytes);
+            self.clients.get_mut(key)?.close_request(number);
+            self.write_answer(key, number, &response);
             return None;
         };
-        // No client waits longer than the settings tell, nor is there more time than the end leaves.
-        let most = self.limits.longest.min(self.lifecycle.time_left(self.now));
-        get.viewer_timeout = get.viewer_timeout.min(most);
+        // The wait is limited by the longest deadline in the settings and by the time left until shutdown.
+        let max_wait = self.limits.max_client_wait.min(self.lifecycle.time_left(self.now));
+        get.viewer_timeout = get.viewer_timeout.min(max_wait);
         self.counters.taken += 1;
         self.startup.request_taken(self.now);
         self.counters.retries += u64::from(get.is_retry);
-        let open = &mut self.clients.get_mut(key)?.open;
-        open.iter_mut().filter(|(open, _)| *open == number).for_each(|(_, owed)| owed.place = Some(place));
-        let until = self.now + get.viewer_timeout;
-        let owed = Some((key, number));
-        self.in_flight.open(place, Pending { owed, id, request, get, until, ..Pending::default() });
+        let open_requests = &mut self.clients.get_mut(key)?.open_requests;
+        open_requests
+            .iter_mut()
+            .filter(|(open, _)| *open == number)
+            .for_each(|(_, open_request)| open_request.get_index = Some(get_index));
+        let deadline = self.now + get.viewer_timeout;
+        let client = Some((key, number));
+        self.in_flight
+            .insert(get_index, PendingGet { client, id, request, get, deadline, ..PendingGet::default() });
         Some(get)
     }
 
-    fn write_answer(&mut self, key: Key, number: u16, answer: &Answer) {
-        let Self { clients, pen, text, .. } = self;
+    fn write_answer(&mut self, key: ConnectionKey, number: u16, response: &ClientResponse) {
+        let Self { clients, write_buffer, text_buffer, .. } = self;
         if let Some(client) = clients.get_mut(key) {
-            answer.head(text);
-            let body = if let Answer::Returned(body) = answer { body.clone() } else { Bytes::new() };
-            fastcgi::write_response(pen, number, text, body, |bytes| _ = client.connection.enqueue(bytes));
-            self.dirty.push(Who::Client(key));
-            if client.last {
-                self.heard_clients.push_back(key);
+            response.write_head(text_buffer);
+            let body =
+                if let ClientResponse::Returned(body) = response { body.clone() } else { Bytes::new() };
+            fastcgi::write_response(write_buffer, number, text_buffer, body, |bytes| {
+                _ = client.connection.enqueue(bytes)
+            });
+            self.pending_writes.push(EventSource::Client(key));
+            if client.closes_after_answers {
+                self.readable_clients.push_back(key);
             }
         }
     }
 
-    /// Pays what is owed for a GET; false if it was answered or abandoned before.
-    pub fn pay(&mut self, place: GetIndex, answer: &Answer) -> bool {
-        let retry = self.in_flight.at(place).get.is_retry;
-        let Some((key, number)) = self.in_flight.settle(place) else { return false };
+    /// Answers a GET. Returns false if it was answered or abandoned before.
+    pub fn answer(&mut self, get_index: GetIndex, response: &ClientResponse) -> bool {
+        let is_retry = self.in_flight.get_mut(get_index).get.is_retry;
+        let Some((key, number)) = self.in_flight.take_client(get_index) else { return false };
         if let Some(client) = self.clients.get_mut(key) {
-            client.close(number);
+            client.close_request(number);
         }
-        let returned = matches!(answer, Answer::Returned(_) | Answer::NotModified);
-        self.counters.retries_returned += u64::from(retry && returned);
-        match answer {
-            Answer::Returned(_) => self.counters.returned += 1,
-            Answer::NotModified => {
+        let is_returned = matches!(response, ClientResponse::Returned(_) | ClientResponse::NotModified);
+        self.counters.retries_returned += u64::from(is_retry && is_returned);
+        match response {
+            ClientResponse::Returned(_) => self.counters.returned += 1,
+            ClientResponse::NotModified => {
                 self.counters.returned += 1;
                 self.counters.not_modified += 1;
             }
-            Answer::Shed(_) => self.counters.shed += 1,
+            ClientResponse::Shed(_) => self.counters.shed += 1,
             _ => self.counters.errored += 1,
         }
-        if returned {
-            let pending = self.in_flight.at(place);
-            let (in_hand, ds) = (pending.in_hand(self.now), pending.get.ds);
-            let in_time = self.limits.aims_most.get(ds).is_none_or(|aim| in_hand <= *aim);
-            if self.startup.request_answered(in_time, self.now) {
-                self.tell_return("returned");
+        if is_returned {
+            let pending = self.in_flight.get_mut(get_index);
+            let (age, ds) = (pending.age(self.now), pending.get.ds);
+            let is_on_time = self.limits.max_on_time.get(ds).is_none_or(|limit| age <= *limit);
+            if self.startup.request_answered(is_on_time, self.now) {
+                self.log_startup_step("returned");
             }
         } else {
-            self.note_lost(place);
-            self.log_end(place, answer);
+            self.record_lost_request(get_index);
+            self.log_end(get_index, response);
         }
-        self.write_answer(key, number, answer);
+        self.write_answer(key, number, response);
         true
     }
 
-    /// One line, by the request's id, on a GET that was not returned: what it was, how far it got, how it ended.
-    fn log_end(&mut self, place: GetIndex, answer: &Answer) {
-        let Some(unsaid) = self.may_log_end() else { return };
-        let pending = self.in_flight.at(place);
-        let (id, class, hops) = (String::from_utf8_lossy(&pending.request.id), pending.get.ds, pending.hops);
-        let in_hand = pending.in_hand(self.now);
-        let (end, back_ms) = match answer {
-            Answer::Shed(after) => ("shed", after.map_or(0, |after| after.as_millis())),
-            Answer::Errored => ("errored", 0),
+    /// Logs a GET that was not returned, with the request's id, its service, its number of forwards and its last end.
+    fn log_end(&mut self, get_index: GetIndex, response: &ClientResponse) {
+        let Some(suppressed) = self.take_end_log_line() else { return };
+        let pending = self.in_flight.get_mut(get_index);
+        let (id, class, attempts) =
+            (String::from_utf8_lossy(&pending.request.id), pending.get.ds, pending.attempts);
+        let age = pending.age(self.now);
+        let (end, retry_after_ms) = match response {
+            ClientResponse::Shed(after) => ("shed", after.map_or(0, |after| after.as_millis())),
+            ClientResponse::Errored => ("errored", 0),
             _ => ("unusable", 0),
         };
-        let ms = in_hand.as_millis();
-        // How the last forward that ended went, and where: the host by the list's name.
-        let (last, note, host) = match pending.last {
+        let age_ms = age.as_millis();
+        // End and note of the last forward that ended, and the name of its host in the list.
+        let (last, note, host) = match pending.last_end {
             Some((host, end, note)) => (
                 format!("{end:?}"),
                 format!("{note:?}"),
@@ -212,63 +233,73 @@
             ),
             None => ("none".to_owned(), "none".to_owned(), "none".to_owned()),
         };
-        log::info!(id:%, class, forwards = hops, in_hand_ms = ms, end, retry_after_ms = back_ms, last:%, note:%,
-            host:%, unsaid;
+        log::info!(id:%, class, forwards = attempts, in_hand_ms = age_ms, end, retry_after_ms, last:%, note:%,
+            host:%, unsaid = suppressed;
             "not returned");
     }
 
-    fn abandon(&mut self, place: GetIndex) {
-        if self.in_flight.settle(place).is_some() {
+    fn abandon(&mut self, get_index: GetIndex) {
+        if self.in_flight.take_client(get_index).is_some() {
             self.counters.abandoned += 1;
-            self.abandoned.push_back(place);
+            self.abandoned_gets.push_back(get_index);
         }
     }
 
-    /// A request that nobody waits for any more, taken or not.
-    fn call_off(&mut self, key: Key, number: u16, owed: Owed) {
-        match owed.place {
-            Some(place) => self.abandon(place),
+    /// Drops a request that no client waits for any more, whether it was taken or not.
+    fn cancel_request(&mut self, key: ConnectionKey, number: u16, request: OpenRequest) {
+        match request.get_index {
+            Some(get_index) => self.abandon(get_index),
             None => {
-                self.asked.retain(|asked| asked.key != key || asked.request.number != number);
-                self.accounts.request_bytes.subtract(owed.long);
-                self.counters.left_before += 1;
+                self.queued_requests.retain(|queued| queued.key != key || queued.request.number != number);
+                self.resource_usage.request_bytes.subtract(request.size_bytes);
+                self.counters.left_before_taken += 1;
             }
         }
     }
 
-    /// Takes a client out, with all that it waited for.
-    fn remove_client(&mut self, key: Key) -> Client {
+    /// Removes a client and cancels its open requests.
+    fn remove_client(&mut self, key: ConnectionKey) -> Client {
         let client = self.clients.remove(key);
-        self.check_closed(client.ended, client.open.len());
-        self.accounts.request_bytes.subtract(client.reader.buffered_bytes());
-        for &(number, owed) in &client.open {
-            self.call_off(key, number, owed);
+        self.check_closed(client.has_ended, client.open_requests.len());
+        self.resource_usage.request_bytes.subtract(client.reader.buffered_bytes());
+        for &(number, request) in &client.open_requests {
+            self.cancel_request(key, number, request);
         }
         client
     }
 
-    /// A client that is gone waits for nothing.
-    pub fn drop_client(&mut self, key: Key) {
+    /// Removes a client whose connection has ended.
+    pub fn drop_client(&mut self, key: ConnectionKey) {
         self.remove_client(key);
     }
 
-    /// Closes a client's connection in steps, at once or when it has the answers that it is owed.
-    pub fn close_client(&mut self, key: Key) {
+    /// Starts a lingering close of a client's connection, now or once its open requests are answered.
+    pub fn close_client(&mut self, key: ConnectionKey) {
         if !self.may_close(key) {
             return;
         }
         let client = self.remove_client(key);
-        self.closing.start_close(Who::Client(key), client.connection, &mut self.shared, self.now);
+        self.closing.start_close(
+            EventSource::Client(key),
+            client.connection,
+            &mut self.read_buffer,
+            self.now,
+        );
     }
 
-    /// The answer that a host's answer makes; none where it can't be one. A client's copy is called current only where its
-    /// tag went with the forward and the host names that tag.
-    pub fn returned(&mut self, place: GetIndex, names_copy: bool, answer: resp::Reply) -> Option<Answer> {
-        if &answer.status[..] != b"304" {
-            return Some(Answer::Returned(answer.body));
+    /// The response to the client that a host's reply makes, or `None` if the reply is invalid. The client's held
+    /// version is reported as current only if its tag was sent with the forward and the host names that tag.
+    pub fn response_from_reply(
+        &mut self,
+        get_index: GetIndex,
+        sent_version: bool,
+        reply: resp::Reply,
+    ) -> Option<ClientResponse> {
+        if &reply.status[..] != b"304" {
+            return Some(ClientResponse::Returned(reply.body));
         }
-        let held = &self.in_flight.at(place).request.held_version;
-        let is_current = names_copy && answer.field("rev") == Some(&held[..]);
-        is_current.then_some(Answer::NotModified)
+        let held = &self.in_flight.get_mut(get_index).request.held_version;
+        let is_current = sent_version && reply.field("rev") == Some(&held[..]);
+        is_current.then_some(ClientResponse::NotModified)
     }
 }
--- a/crates/dispatcher/src/routing/clients.rs
+++ b/crates/dispatcher/src/routing/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, and the answers that go out on them.
+//! Client connections and the responses that are sent on them.
 
 use super::Dispatcher;
 use bytes::Bytes;
@@ -9,36 +9,37 @@
 use std::io::Write;
 use std::time::Duration;
 
+/// A client's connection.
 pub struct Client {
     pub connection: Connection<Dispatcher>,
     pub reader: RequestReader,
-    /// Requests that are owed an answer, by their numbers.
-    pub open: Vec<(u16, Owed)>,
-    /// To be closed once nothing is open and all is written.
-    pub last: bool,
-    /// Nothing more is read: what came can't be used.
-    pub reads_no_further: bool,
-    /// The other side has closed or broken it: its client waits for nothing.
-    pub ended: bool,
-    /// A whole request has come.
-    pub asked: bool,
-    pub since: Duration,
-    /// Since when a part of a record waits for its rest.
-    pub part_since: Option<Duration>,
-    /// When it last came in or went out.
-    pub moved_at: Duration,
-    /// How much of its answers had gone out when some last did, and when that was.
-    pub flushed: u64,
-    pub flushed_at: Duration,
+    /// Requests that wait for an answer, by their numbers.
+    pub open_requests: Vec<(u16, OpenRequest)>,
+    /// The connection is closed once no request is open and all output is written.
+    pub closes_after_answers: bool,
+    /// Further input is discarded, since it can't be used.
+    pub ignores_input: bool,
+    /// The peer has closed or reset the connection, so its client waits for nothing.
+    pub has_ended: bool,
+    /// Whether a complete request has been received.
+    pub has_sent_request: bool,
+    pub accepted_at: Duration,
+    /// Since when an incomplete record has been waiting for its remaining bytes.
+    pub partial_since: Option<Duration>,
+    /// When the socket was last ready to read or write.
+    pub last_active_at: Duration,
+    /// Bytes written when output last made progress, and when that was.
+    pub progress_bytes: u64,
+    pub write_progress_at: Duration,
 }
 
-/// A request that is owed an answer.
+/// A request that waits for an answer.
 #[derive(Clone, Copy)]
-pub struct Owed {
-    /// The GET it is; none until the module has taken it.
-    pub place: Option<GetIndex>,
-    /// Bytes that it holds.
-    pub long: usize,
+pub struct OpenRequest {
+    /// The GET made from it; `None` until the decision module has taken it.
+    pub get_index: Option<GetIndex>,
+    /// Bytes that the request holds in memory.
+    pub size_bytes: usize,
 }
 
 impl Client {
@@ -46,102 +47,117 @@
         Self {
             connection,
             reader: RequestReader::default(),
-            open: Vec::new(),
-            last: false,
-            reads_no_further: false,
-            ended: false,
-            asked: false,
-            since: now,
-            part_since: None,
-            moved_at: now,
-            flushed: 0,
-            flushed_at: now,
+            open_requests: Vec::new(),
+            closes_after_answers: false,
+            ignores_input: false,
+            has_ended: false,
+            has_sent_request: false,
+            accepted_at: now,
+            partial_since: None,
+            last_active_at: now,
+            progress_bytes: 0,
+            write_progress_at: now,
         }
     }
 
-    pub fn quiet(&self) -> bool {
-        self.open.is_empty() && self.connection.unsent_bytes() == 0
+    /// Whether no request is open and all output is written.
+    pub fn is_drained(&self) -> bool {
+        self.open_requests.is_empty() && self.connection.unsent_bytes() == 0
     }
 
-    /// Quiet, and with no request on its way.
-    pub fn rests(&self) -> bool {
-        self.quiet() && self.reader.is_empty() && self.connection.unparsed_bytes() == 0
+    /// Whether the connection is drained and no request is partly received.
+    pub fn is_idle(&self) -> bool {
+        self.is_drained() && self.reader.is_empty() && self.connection.unparsed_bytes() == 0
     }
 
-    /// At rest; or never heard of but for bytes that made no request.
-    pub fn idle(&self) -> bool {
-        self.rests() || self.quiet() && !self.asked
+    /// Whether the connection may be closed to make room: it is idle, or it is drained and never sent a complete
+    /// request.
+    pub fn is_evictable(&self) -> bool {
+        self.is_idle() || self.is_drained() && !self.has_sent_request
     }
 
-    /// The next message of what came; requests that are not yet whole are counted as held.
-    pub fn next(&mut self, requests: &Gauge, now: Duration) -> Result<Option<Message>, StreamError> {
-        let (before, unread) = (self.reader.buffered_bytes(), self.connection.unparsed_bytes());
-        let Self { connection, reader, open, .. } = self;
-        let next = connection.parse(|inbound| reader.next_message(inbound, open, now));
-        requests.add(self.reader.buffered_bytes());
-        requests.subtract(before);
-        self.part_since = self.part_since.filter(|_| self.connection.unparsed_bytes() == unread);
+    /// Parses the next message. Bytes of incomplete requests are counted in `request_bytes`.
+    pub fn next_message(
+        &mut self,
+        request_bytes: &Gauge,
+        now: Duration,
+    ) -> Result<Option<Message>, StreamError> {
+        let (buffered_before, unparsed_before) =
+            (self.reader.buffered_bytes(), self.connection.unparsed_bytes());
+        let Self { connection, reader, open_requests, .. } = self;
+        let next = connection.parse(|inbound| reader.next_message(inbound, open_requests, now));
+        request_bytes.add(self.reader.buffered_bytes());
+        request_bytes.subtract(buffered_before);
+        self.partial_since =
+            self.partial_since.filter(|_| self.connection.unparsed_bytes() == unparsed_before);
         if self.connection.unparsed_bytes() > 0 {
-            self.part_since.get_or_insert(now);
+            self.partial_since.get_or_insert(now);
         }
         next
     }
 
-    /// Bytes that its requests hold here, whole or not.
-    pub fn holds(&self) -> usize {
-        let open: usize = self.open.iter().map(|(_, owed)| owed.long).sum();
+    /// Bytes that the client's requests hold in memory, complete or not.
+    pub fn request_bytes(&self) -> usize {
+        let open: usize = self.open_requests.iter().map(|(_, request)| request.size_bytes).sum();
         open + self.reader.buffered_bytes() + self.connection.unparsed_bytes()
     }
 
-    /// A request that was begun before `then` and is not yet whole; it is refused.
-    pub fn refuse_older(&mut self, requests: &Gauge, then: Duration) -> Option<u16> {
+    /// Refuses one incomplete request that began before `time` and returns its number.
+    pub fn refuse_older_than(&mut self, request_bytes: &Gauge, time: Duration) -> Option<u16> {
         let before = self.reader.buffered_bytes();
-        let refused = self.reader.refuse_older_than(then);
-        requests.subtract(before - self.reader.buffered_bytes());
+        let refused = self.reader.refuse_older_than(time);
+        request_bytes.subtract(before - self.reader.buffered_bytes());
         refused
     }
 
-    /// The request is over; none if it was before.
-    pub fn close(&mut self, number: u16) -> Option<Owed> {
-        let at = self.open.iter().position(|&(open, _)| open == number)?;
-        Some(self.open.swap_remove(at).1)
+    /// Ends a request; `None` if it has ended before.
+    pub fn close_request(&mut self, number: u16) -> Option<OpenRequest> {
+        let position = self.open_requests.iter().position(|&(open, _)| open == number)?;
+        Some(self.open_requests.swap_remove(position).1)
     }
 }
 
-/// The answers that there are.
-pub enum Answer {
+/// A response to a client.
+pub enum ClientResponse {
     Returned(Bytes),
-    /// The copy that the client holds is the one.
+    /// The version that the client holds is current.
     NotModified,
     Shed(Option<Duration>),
     Errored,
-    /// What was asked could not be used.
+    /// The request can't be used.
     Unusable,
+    /// Health check: whether the dispatcher is ready.
     Healthy(bool),
 }
 
-impl Answer {
-    /// Writes its head.
-    pub fn head(&self, out: &mut Vec<u8>) {
-        out.clear();
+impl ClientResponse {
+    /// Writes the response's header fields.
+    pub fn write_head(&self, output: &mut Vec<u8>) {
+        output.clear();
         let written = match self {
-            Answer::Returned(body) => {
-                let long = body.len();
+            ClientResponse::Returned(body) => {
+                let length = body.len();
                 write!(
-                    out,
-                    "Status: 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: {long}\r\n"
+                    output,
+                    "Status: 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: {length}\r\n"
                 )
             }
-            Answer::NotModified => write!(out, "Status: 200 OK\r\nX-Valid: 1\r\nContent-Length: 0\r\n"),
-            Answer::Shed(None) => write!(out, "Status: 503 Service Unavailable\r\n"),
-            Answer::Shed(Some(wait)) => {
-                write!(out, "Status: 503 Service Unavailable\r\nBack-Off-Ms: {}\r\n", wait.as_millis().max(1))
+            ClientResponse::NotModified => {
+                write!(output, "Status: 200 OK\r\nX-Valid: 1\r\nContent-Length: 0\r\n")
             }
-            Answer::Errored => write!(out, "Status: 502 Bad Gateway\r\n"),
-            Answer::Unusable => write!(out, "Status: 400 Bad Request\r\n"),
-            Answer::Healthy(true) => write!(out, "Status: 200 OK\r\nContent-Length: 0\r\n"),
-            Answer::Healthy(false) => write!(out, "Status: 503 Service Unavailable\r\n"),
+            ClientResponse::Shed(None) => write!(output, "Status: 503 Service Unavailable\r\n"),
+            ClientResponse::Shed(Some(wait)) => {
+                write!(
+                    output,
+                    "Status: 503 Service Unavailable\r\nBack-Off-Ms: {}\r\n",
+                    wait.as_millis().max(1)
+                )
+            }
+            ClientResponse::Errored => write!(output, "Status: 502 Bad Gateway\r\n"),
+            ClientResponse::Unusable => write!(output, "Status: 400 Bad Request\r\n"),
+            ClientResponse::Healthy(true) => write!(output, "Status: 200 OK\r\nContent-Length: 0\r\n"),
+            ClientResponse::Healthy(false) => write!(output, "Status: 503 Service Unavailable\r\n"),
         };
-        written.and_then(|()| out.write_all(b"\r\n")).expect("a vector takes all that is written");
+        written.and_then(|()| output.write_all(b"\r\n")).expect("writing to a vector does not fail");
     }
 }
--- a/crates/dispatcher/src/routing/codec.rs
+++ b/crates/dispatcher/src/routing/codec.rs
@@ -1,4 +1,5 @@
-//! What messages of clients and hosts say, as the module takes it: names become small indices here, words its types.
+//! Translates the messages of clients and hosts into the decision module's types: names become indices, words become
+//! enum values.
 
 use bytes::Bytes;
 use myrtlegauge::interface::{End, Get, LoadReport, Note, Settings, duration_from_ms};
@@ -6,45 +7,56 @@
 use myrtlegauge_wire::protocol::fastcgi::Request;
 use myrtlegauge_wire::protocol::resp::Reply;
 
+/// Translates messages by the settings' delivery services.
 pub struct Codec {
     pub services: Vec<Bytes>,
-    /// Whether a service's GETs are answered by copies; those that are passed on are not.
-    copies: Vec<bool>,
+    /// By service, whether its GETs are answered with cached copies. GETs that are passed through are not.
+    are_copies: Vec<bool>,
 }
 
 impl Codec {
-    pub fn new(told: &Settings) -> Result<Self, String> {
-        let listed =
-            told.get("classes").and_then(|v| v.as_array()).ok_or("setting classes is missing or no list")?;
+    pub fn new(settings: &Settings) -> Result<Self, String> {
+        let classes = settings
+            .get("classes")
+            .and_then(|v| v.as_array())
+            .ok_or("setting `classes` is missing or not a list")?;
         let service = |v: &serde_json::Value| {
             let name = v.get("name").and_then(|name| name.as_str());
-            name.map(|name| Bytes::copy_from_slice(name.as_bytes())).ok_or("a delivery service has no name")
+            name.map(|name| Bytes::copy_from_slice(name.as_bytes()))
+                .ok_or("setting `classes`: a delivery service has no name")
         };
-        let services = listed.iter().map(service).collect::<Result<Vec<_>, _>>()?;
+        let services = classes.iter().map(service).collect::<Result<Vec<_>, _>>()?;
         Ok(Self {
-            copies: (0..services.len()).map(|ds| !flag(told, &format!("domain.pass_on.{ds}"))).collect(),
+            are_copies: (0..services.len())
+                .map(|ds| !flag(settings, &format!("domain.pass_on.{ds}")))
+                .collect(),
             services,
         })
     }
 
-    /// A GET by its request's fields, each in the form that the page gives it; none where one that is needed is
-    /// missing or unusable. What comes this far goes on to hosts as it came.
+    /// Builds a GET from the request's fields, each in the form that the protocol page defines. Returns `None` if a
+    /// required field is missing or invalid. Fields that pass these checks are forwarded to hosts unchanged.
     pub fn get(&self, request: &Request) -> Option<Get> {
         let service = request.path.strip_prefix(b"/rpc/")?;
-        let usable = !request.is_malformed && request.id.len() == KEY_LONG && hex(&request.id).is_some();
-        let budget = number(&request.budget).filter(|&ms| ms <= BUDGET_MOST)?;
-        // What does not name an object, a write for one, goes without.
-        let or_none = |read: fn(&[u8]) -> Option<u64>, bytes: &[u8]| match bytes {
+        let is_usable =
+            !request.is_malformed && request.id.len() == ID_DIGITS && parse_hex(&request.id).is_some();
+        let budget = parse_number(&request.budget).filter(|&ms| ms <= MAX_BUDGET_MS)?;
+        // Requests that name no object, such as writes, leave these fields empty.
+        let parse_or_zero = |parse: fn(&[u8]) -> Option<u64>, bytes: &[u8]| match bytes {
             b"" => Some(0),
-            _ => read(bytes),
+            _ => parse(bytes),
         };
-        let listable = |field: &[u8]| field.len() <= TAG_LONG && is_token(field);
-        let held = listable(&request.held_version) && listable(&request.token);
+        let is_field_value = |field: &[u8]| field.len() <= MAX_TAG_BYTES && is_token(field);
+        let are_values_valid = is_field_value(&request.held_version) && is_field_value(&request.token);
         Some(Get {
-            ds: self.services.iter().position(|name| name == service).filter(|_| usable && held)?,
-            object: or_none(|key| hex(key).filter(|_| key.len() == KEY_LONG), &request.key)?,
-            part: u32::try_from(or_none(digits, &request.chunk)?).ok()?,
-            group: or_none(digits, &request.group).filter(|&group| group <= GROUP_MOST)?,
+            ds: self
+                .services
+                .iter()
+                .position(|name| name == service)
+                .filter(|_| is_usable && are_values_valid)?,
+            object: parse_or_zero(|key| parse_hex(key).filter(|_| key.len() == ID_DIGITS), &request.key)?,
+            part: u32::try_from(parse_or_zero(parse_digits, &request.chunk)?).ok()?,
+            group: parse_or_zero(parse_digits, &request.group).filter(|&group| group <= MAX_GROUP)?,
             size_kb: 0.0,
             viewer_timeout: duration_from_ms(budget),
             is_retry: Self::is_retry(request),
@@ -52,22 +64,22 @@
         })
     }
 
-    /// Whether a request is marked as a try after the first. It changes no byte: a mark that can't be read is none.
+    /// Whether a request is marked as a retry. The mark changes no forwarded byte; an unreadable mark counts as none.
     fn is_retry(request: &Request) -> bool {
-        let first = request.first_id.len() == KEY_LONG && hex(&request.first_id).is_some();
-        first && digits(&request.attempt).is_some_and(|number| number > 0)
+        let has_first_id = request.first_id.len() == ID_DIGITS && parse_hex(&request.first_id).is_some();
+        has_first_id && parse_digits(&request.attempt).is_some_and(|attempt| attempt > 0)
     }
 
-    /// How an answer ends a forward; none for a word that is not known, or without the fields of a copy where the
-    /// answer must be one.
-    pub fn end(&self, ds: usize, answer: &Reply) -> Option<End> {
-        let copy = || {
-            let tag = answer.field("rev").is_some_and(|tag| !tag.is_empty() && is_token(tag));
-            tag && answer.field("since").and_then(number).is_some()
+    /// The end that a reply means for its forward. Returns `None` for an unknown status, or where the reply must be a
+    /// copy and lacks a copy's fields.
+    pub fn reply_end(&self, ds: usize, reply: &Reply) -> Option<End> {
+        let has_copy_fields = || {
+            let has_tag = reply.field("rev").is_some_and(|tag| !tag.is_empty() && is_token(tag));
+            has_tag && reply.field("since").and_then(parse_number).is_some()
         };
-        Some(match &answer.status[..] {
-            b"200" if !self.copies[ds] || copy() => End::Returned,
-            b"304" if self.copies[ds] && copy() => End::Returned,
+        Some(match &reply.status[..] {
+            b"200" if !self.are_copies[ds] || has_copy_fields() => End::Returned,
+            b"304" if self.are_copies[ds] && has_copy_fields() => End::Returned,
             b"404" => End::Miss,
             b"503" => End::Full,
             b"500" => End::Errored,
@@ -77,44 +89,48 @@
     }
 }
 
-/// Digits of an object's or a request's id.
-const KEY_LONG: usize = 16;
-/// Digits of any other number, and bytes of a copy's tag or a request's token.
-const NUMBER_LONG: usize = 10;
-const TAG_LONG: usize = 64;
-/// Groups of objects are numbered up to here.
-const GROUP_MOST: u64 = 255;
-/// ms; no client waits longer than an hour.
-pub const BUDGET_MOST: f64 = 3.6e6;
+/// Hexadecimal digits of an object's or a request's id.
+const ID_DIGITS: usize = 16;
+/// Decimal digits of any other number.
+const MAX_NUMBER_DIGITS: usize = 10;
+/// Bytes of a copy's tag or of a request's token.
+const MAX_TAG_BYTES: usize = 64;
+/// The highest number of an object group.
+const MAX_GROUP: u64 = 255;
+/// No client waits longer than an hour.
+pub const MAX_BUDGET_MS: f64 = 3.6e6;
 
-pub fn hex(bytes: &[u8]) -> Option<u64> {
-    let fits = (1..=KEY_LONG).contains(&bytes.len()) && bytes.iter().all(u8::is_ascii_hexdigit);
+/// Parses 1 to 16 hexadecimal digits.
+pub fn parse_hex(bytes: &[u8]) -> Option<u64> {
+    let fits = (1..=ID_DIGITS).contains(&bytes.len()) && bytes.iter().all(u8::is_ascii_hexdigit);
     u64::from_str_radix(std::str::from_utf8(bytes).ok().filter(|_| fits)?, 16).ok()
 }
 
-fn digits(bytes: &[u8]) -> Option<u64> {
-    let fits = (1..=NUMBER_LONG).contains(&bytes.len()) && bytes.iter().all(u8::is_ascii_digit);
+fn parse_digits(bytes: &[u8]) -> Option<u64> {
+    let fits = (1..=MAX_NUMBER_DIGITS).contains(&bytes.len()) && bytes.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(bytes).ok().filter(|_| fits)?.parse().ok()
 }
 
-/// What can stand in a list of fields.
+/// Whether the bytes can be the value of a field in a host's field list.
 fn is_token(bytes: &[u8]) -> bool {
     bytes.iter().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
 }
 
-/// The tag alone, without the marks that HTTP puts around it.
-pub fn bare(tag: &Bytes) -> Bytes {
+/// Strips the weak prefix and the quotes of an HTTP entity tag.
+pub fn strip_etag_quotes(tag: &Bytes) -> Bytes {
     let tag = tag.strip_prefix(b"W/").map_or(tag.clone(), |rest| tag.slice_ref(rest));
     let inner = tag.strip_prefix(b"\"").and_then(|rest| rest.strip_suffix(b"\""));
     inner.map_or(tag.clone(), |inner| tag.slice_ref(inner))
 }
 
-pub fn number(bytes: &[u8]) -> Option<f64> {
+/// Parses a finite number that is not negative.
+pub fn parse_number(bytes: &[u8]) -> Option<f64> {
     std::str::from_utf8(bytes).ok()?.trim().parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
-pub fn note(answer: &Reply) -> Note {
-    match answer.field("why").unwrap_or_default() {
+/// The note that a reply carries.
+pub fn reply_note(reply: &Reply) -> Note {
+    match reply.field("why").unwrap_or_default() {
         b"TCP_HIT" => Note::Hit,
         b"TCP_MISS" => Note::Filled,
         b"TCP_MISS_ROOT" => Note::FilledFromOrigin,
@@ -129,12 +145,12 @@
     }
 }
 
-/// The load report of an answer, by the settings' names or the page's.
-pub fn load(answer: &Reply) -> LoadReport {
+/// Parses the load report of a reply, under either the settings' or the protocol page's names.
+pub fn reply_load(reply: &Reply) -> LoadReport {
     let mut load = LoadReport::default();
-    for pair in answer.field("rep").unwrap_or_default().split(|&b| b == b';') {
+    for pair in reply.field("rep").unwrap_or_default().split(|&b| b == b';') {
         let Some(colon) = pair.iter().position(|&b| b == b':') else { continue };
-        let value = number(&pair[colon + 1..]);
+        let value = parse_number(&pair[colon + 1..]);
         match &pair[..colon] {
             b"util" | b"cpu_share" => load.utilization = value,
             b"inflight" | b"busy_reqs" => load.in_flight = value,
--- a/crates/dispatcher/src/routing/counters.rs
+++ b/crates/dispatcher/src/routing/counters.rs
@@ -1,67 +1,76 @@
-//! What was taken in, sent and answered, by kind.
+//! Counters of requests, forwards, connections, faults and rule violations, and their report.
 
 use super::guards::Rule;
 use myrtlegauge::interface::{End, Note};
 use std::fmt;
 
+/// The counters of one dispatcher. Labels in the report differ from some field names: operators' tools read the labels.
 #[derive(Default)]
 pub struct Counters {
     pub taken: u64,
-    /// Among those, tries after the first that their clients marked, and how many of these were returned.
+    /// GETs taken that their clients marked as retries.
     pub retries: u64,
+    /// Marked retries that were returned.
     pub retries_returned: u64,
     pub returned: u64,
     pub not_modified: u64,
     pub shed: u64,
     pub errored: u64,
     pub abandoned: u64,
-    /// Requests that could not be read or used, answered errored without the module.
+    /// Requests that could not be read or used; they are answered with an error and do not reach the decision module.
     pub unusable: u64,
-    /// Among those, requests under the id of a GET in hand.
-    pub twice: u64,
-    /// Requests refused unread: no room for more of their client's, or the end is near.
+    /// Unusable requests that carried the id of a GET in flight.
+    pub duplicate_ids: u64,
+    /// Requests refused before they were taken, because their client held too many bytes or the shutdown was in its
+    /// closing state.
     pub refused: u64,
-    /// Requests whose clients had left before they could be taken.
-    pub left_before: u64,
-    /// Connections closed for saying nothing that is whole in time.
-    pub mute: u64,
+    /// Requests whose clients disconnected or cancelled before the request was taken.
+    pub left_before_taken: u64,
+    /// Client connections closed because no complete request or record arrived in time.
+    pub silent_clients: u64,
     pub health: u64,
     pub forwards: u64,
     pub withdrawn: u64,
     ends: [u64; END_NAMES.len()],
     notes: [u64; NOTE_NAMES.len()],
-    /// Answers that did not come in one piece, and how long their rest took.
-    pub in_parts: u64,
-    pub in_parts_us: u64,
+    /// Replies that did not arrive in one piece.
+    pub partial_replies: u64,
+    /// Total time between the first and the last piece of those replies.
+    pub partial_replies_us: u64,
+    /// Client connections accepted.
     pub clients: u64,
+    /// Connections to hosts opened.
     pub links: u64,
     pub links_failed: u64,
-    /// Connections that did not come up while GETs waited for them.
+    /// Connections that were not established within the connect timeout.
     pub links_late: u64,
     pub links_broken: u64,
     pub links_idle: u64,
-    /// Connections left because a part of an answer stayed one.
+    /// Connections closed because an incomplete reply was not completed in time.
     pub links_stuck: u64,
-    pub hosts_forgotten: u64,
+    pub hosts_released: u64,
     pub changes: u64,
     pub purges: u64,
     pub polls_failed: u64,
-    /// Times that nothing ran here for so long that beliefs were doubted.
-    pub gaps: u64,
-    /// Later configurations, followed and unusable.
-    pub reread: u64,
-    pub reread_failed: u64,
-    /// Messages that could not be read, and answers that no GET waited for.
+    /// Times that the process did not run, or no replica answered, for so long that cached copies and the host list
+    /// were no longer trusted.
+    pub pauses: u64,
+    /// Configuration reloads that were applied.
+    pub config_reloads: u64,
+    /// Configuration reloads that were rejected.
+    pub config_reloads_failed: u64,
+    /// Messages that could not be read or used, and other reported faults.
     pub faults: u64,
-    pub strays: u64,
-    /// Forwards that the guard kept back at the last moment.
-    pub not_sent: u64,
-    /// What was done against each rule.
+    /// Replies that matched no forward on their connection.
+    pub unmatched_replies: u64,
+    /// Forwards that the guard withheld immediately before sending.
+    pub withheld: u64,
+    /// Violations of each rule.
     pub violations: [u64; Rule::ALL.len()],
-    /// What must hold and did not.
-    pub broken: u64,
+    /// Invariants that did not hold.
+    pub broken_invariants: u64,
     pub rounds: u64,
-    pub round_longest_us: u64,
+    pub longest_round_us: u64,
 }
 
 const END_NAMES: [&str; 10] = [
@@ -90,36 +99,37 @@
     "origin-failed",
 ];
 
-/// Lines on what did not hold; after so many they tell nothing new.
-const TELLS: u64 = 20;
+/// Log lines per rule, and for all broken invariants; further lines would add no information.
+const MAX_VIOLATION_LINES: u64 = 20;
 
 impl Counters {
-    pub fn ended(&mut self, end: End, note: Note) {
+    /// Counts the end of a forward and the note of its reply.
+    pub fn record_end(&mut self, end: End, note: Note) {
         self.ends[end as usize] += 1;
         self.notes[note as usize] += 1;
     }
 
-    /// Counts what was done against a rule, and tells of it by its ids.
-    pub fn violated(&mut self, rule: Rule, what: fmt::Arguments<'_>) {
+    /// Counts a violation of a rule and logs it with its ids.
+    pub fn record_violation(&mut self, rule: Rule, description: fmt::Arguments<'_>) {
         let count = &mut self.violations[rule as usize];
         *count += 1;
-        if *count <= TELLS {
-            log::error!(rule = rule.name(); "broken: {what}");
+        if *count <= MAX_VIOLATION_LINES {
+            log::error!(rule = rule.name(); "broken: {description}");
         }
     }
 
-    /// Takes over a count that is kept elsewhere.
-    pub fn violations_were(&mut self, rule: Rule, count: u64) {
+    /// Sets a rule's count of violations, for a count that is kept elsewhere.
+    pub fn set_violations(&mut self, rule: Rule, count: u64) {
         self.violations[rule as usize] = count;
     }
 
-    /// Checks what must hold: asserted in debug builds, counted in release builds.
-    pub fn must(&mut self, holds: bool, what: &str) {
-        debug_assert!(holds, "{what}");
+    /// Checks an invariant: asserted in debug builds, counted and logged in release builds.
+    pub fn check_invariant(&mut self, holds: bool, description: &str) {
+        debug_assert!(holds, "{description}");
         if !holds {
-            self.broken += 1;
-            if self.broken <= TELLS {
-                log::error!("broken: {what}");
+            self.broken_invariants += 1;
+            if self.broken_invariants <= MAX_VIOLATION_LINES {
+                log::error!("broken: {description}");
             }
         }
     }
@@ -138,9 +148,9 @@
             self.errored,
             self.abandoned,
             self.unusable,
-            self.twice,
+            self.duplicate_ids,
             self.refused,
-            self.left_before,
+            self.left_before_taken,
             self.health
         )?;
         if self.retries > 0 {
@@ -152,14 +162,18 @@
             )?;
         }
         write!(f, "forwards: sent {} withdrawn {}", self.forwards, self.withdrawn)?;
-        for (name, n) in END_NAMES.iter().zip(self.ends) {
-            write!(f, " {name} {n}")?;
+        for (name, count) in END_NAMES.iter().zip(self.ends) {
+            write!(f, " {name} {count}")?;
         }
-        write!(f, "\nanswers in parts {} taking {} us in all\nnotes:", self.in_parts, self.in_parts_us)?;
-        for (name, n) in NOTE_NAMES.iter().zip(self.notes) {
-            write!(f, " {name} {n}")?;
+        write!(
+            f,
+            "\nanswers in parts {} taking {} us in all\nnotes:",
+            self.partial_replies, self.partial_replies_us
+        )?;
+        for (name, count) in NOTE_NAMES.iter().zip(self.notes) {
+            write!(f, " {name} {count}")?;
         }
-        write!(f, "\nrules: not sent {}, violations of", self.not_sent)?;
+        write!(f, "\nrules: not sent {}, violations of", self.withheld)?;
         for rule in Rule::ALL {
             write!(f, " {} {}", rule.name(), self.violations[rule as usize])?;
         }
@@ -170,25 +184,25 @@
              faults: unreadable {} strays {} broken {}\n\
              rounds: {} longest {} us",
             self.clients,
-            self.mute,
+            self.silent_clients,
             self.links,
             self.links_failed,
             self.links_late,
             self.links_broken,
             self.links_idle,
             self.links_stuck,
-            self.hosts_forgotten,
+            self.hosts_released,
             self.changes,
             self.purges,
             self.polls_failed,
-            self.gaps,
-            self.reread,
-            self.reread_failed,
+            self.pauses,
+            self.config_reloads,
+            self.config_reloads_failed,
             self.faults,
-            self.strays,
-            self.broken,
+            self.unmatched_replies,
+            self.broken_invariants,
             self.rounds,
-            self.round_longest_us
+            self.longest_round_us
         )
     }
 }
--- a/crates/dispatcher/src/routing/forwards.rs
+++ b/crates/dispatcher/src/routing/forwards.rs
@@ -1,11 +1,11 @@
-//! The hosts' side of the proxy: forwards out, answers in. It carries out what the module decided.
+//! The host side of the proxy: carries out the decision module's forwards and parses the hosts' replies.
 
-use super::clients::Answer;
+use super::clients::ClientResponse;
 use super::codec;
 use super::hosts::Link;
-use super::in_flight::Out;
-use super::proxy::{Due, Proxy};
-use super::{Key, Who};
+use super::in_flight::InFlightForward;
+use super::proxy::{Proxy, Timer};
+use super::{ConnectionKey, EventSource};
 use myrtlegauge::host_life::EndEvidence;
 use myrtlegauge::interface::{
     DecisionSink, End, Forward, GetIndex, HostIndex, LoadReport, Note, Outcome, duration_from_ms,
@@ -17,88 +17,99 @@
 use std::io::{self, ErrorKind, Write};
 use std::time::Duration;
 
-/// Connections to one host, where descriptors allow.
-const LINKS_EACH: usize = 4;
-/// How long a connection may take to come up after all: the system asks a second time after 1 s where the first word
-/// was lost, and a way there and back more. GETs wait no longer for it than the settings tell.
-const DIAL_MOST: Duration = Duration::from_millis(2000);
+/// Maximum number of connections to one host, if descriptors allow.
+const MAX_LINKS_PER_HOST: usize = 4;
+/// How long a connection may take to be established. The system retransmits a lost SYN after 1 s, and the handshake
+/// then takes another round trip. GETs wait for the connection only for the connect timeout in the settings.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(2000);
 
 impl DecisionSink for Proxy {
-    fn forward(&mut self, place: GetIndex, f: &Forward) {
-        let (now, most) = (self.now, self.limits.forwards);
-        let pending = self.in_flight.at(place);
-        let (fit, hop) = (pending.owed.is_some() && pending.out.is_none(), pending.hops);
-        pending.hops += 1;
-        let left = pending.until.saturating_sub(now);
-        let until = now + if f.timeout.is_zero() { left } else { f.timeout.min(left) };
-        self.counters.must(fit, "one forward out at a time, and only for a GET in hand");
-        self.forwards += 1;
-        let serial = self.forwards;
-        let allowed = hop < most;
-        let link = if allowed { self.link_to(f.host, place) } else { Err(End::NeverSent) };
+    fn forward(&mut self, get_index: GetIndex, decision: &Forward) {
+        let (now, max_forwards) = (self.now, self.limits.max_forwards);
+        let pending = self.in_flight.get_mut(get_index);
+        let (is_valid, attempt) = (pending.client.is_some() && pending.forward.is_none(), pending.attempts);
+        pending.attempts += 1;
+        let time_left = pending.deadline.saturating_sub(now);
+        let deadline =
+            now + if decision.timeout.is_zero() { time_left } else { decision.timeout.min(time_left) };
+        self.counters
+            .check_invariant(is_valid, "one forward in flight at a time, and only for an unanswered GET");
+        self.last_forward_serial += 1;
+        let serial = self.last_forward_serial;
+        let is_allowed = attempt < max_forwards;
+        let link = if is_allowed { self.select_link(decision.host, get_index) } else { Err(End::NeverSent) };
         let link_key = link.ok();
-        self.in_flight.at(place).out = Some(Out {
-            hop,
+        self.in_flight.get_mut(get_index).forward = Some(InFlightForward {
+            attempt,
             serial,
-            at: now,
-            until,
+            sent_at: now,
+            deadline,
             link: link_key,
             message: None,
-            names_copy: false,
-            to: *f,
+            sent_version: false,
+            decision: *decision,
         });
         self.counters.forwards += 1;
         let kind = |host: HostIndex| Some(self.hosts[host].entry.kind);
-        self.from_origin +=
-            u32::from(kind(f.source) == self.limits.origin_kind || kind(f.host) == self.limits.origin_kind);
-        self.dues.push(Reverse((until, Due::Forward(place, serial))));
-        if !f.start_deadline.is_zero() {
-            self.dues.push(Reverse((f.start_deadline, Due::Begin(place, serial))));
+        self.origin_forwards += u32::from(
+            kind(decision.source) == self.limits.origin_kind
+                || kind(decision.host) == self.limits.origin_kind,
+        );
+        self.timers.push(Reverse((deadline, Timer::ForwardTimeout(get_index, serial))));
+        if !decision.start_deadline.is_zero() {
+            self.timers.push(Reverse((decision.start_deadline, Timer::StartDeadline(get_index, serial))));
         }
         match link {
             Ok(key) => {
                 let link = &mut self.links[key];
-                link.out.push(place);
-                link.used_at = now;
-                if link.up {
-                    self.write_forward(key, place);
+                link.in_flight_gets.push(get_index);
+                link.last_used_at = now;
+                if link.is_up {
+                    self.write_forward(key, get_index);
                 }
             }
-            Err(end) => self.ended.push_back((place, serial, end)),
+            Err(end) => self.ended_forwards.push_back((get_index, serial, end)),
         }
     }
 
-    fn withdraw(&mut self, place: GetIndex, hop: u32) {
-        let Some(out) = self.in_flight.at(place).out.filter(|out| out.hop == hop) else { return };
+    fn withdraw(&mut self, get_index: GetIndex, attempt: u32) {
+        let Some(forward) =
+            self.in_flight.get_mut(get_index).forward.filter(|forward| forward.attempt == attempt)
+        else {
+            return;
+        };
         self.counters.withdrawn += 1;
-        let end = if self.give_up(place, &out) { End::Withdrawn } else { End::NeverSent };
-        self.ended.push_back((place, out.serial, end));
+        let end = if self.abandon_forward(get_index, &forward) { End::Withdrawn } else { End::NeverSent };
+        self.ended_forwards.push_back((get_index, forward.serial, end));
     }
 
-    fn shed(&mut self, place: GetIndex, retry_after: Option<Duration>) {
-        if !self.may_reject(place) {
-            return self.error(place);
+    fn shed(&mut self, get_index: GetIndex, retry_after: Option<Duration>) {
+        if !self.may_reject(get_index) {
+            return self.error(get_index);
         }
-        self.check_rejected(place);
-        let paid = self.pay(place, &Answer::Shed(retry_after));
-        self.counters.must(paid, "one answer for each GET");
+        self.check_rejected(get_index);
+        let is_answered = self.answer(get_index, &ClientResponse::Shed(retry_after));
+        self.counters.check_invariant(is_answered, "one answer for each GET");
     }
 
-    fn error(&mut self, place: GetIndex) {
-        let paid = self.pay(place, &Answer::Errored);
-        self.counters.must(paid, "one answer for each GET");
+    fn error(&mut self, get_index: GetIndex) {
+        let is_answered = self.answer(get_index, &ClientResponse::Errored);
+        self.counters.check_invariant(is_answered, "one answer for each GET");
     }
 
-    fn release(&mut self, place: GetIndex) {
-        let pending = self.in_flight.at(place);
-        let clear = pending.owed.is_none() && pending.out.is_none();
-        self.counters.must(clear, "a GET that is over has no forward out and its answer");
-        self.accounts.request_bytes.subtract(self.in_flight.at(place).request.size);
-        self.in_flight.clear(place);
+    fn release(&mut self, get_index: GetIndex) {
+        let pending = self.in_flight.get_mut(get_index);
+        let is_finished = pending.client.is_none() && pending.forward.is_none();
+        self.counters.check_invariant(
+            is_finished,
+            "a released GET is answered or abandoned and has no forward in flight",
+        );
+        self.resource_usage.request_bytes.subtract(self.in_flight.get_mut(get_index).request.size);
+        self.in_flight.remove(get_index);
     }
 
     fn schedule_wakeup(&mut self, after: Duration) {
-        self.wake_in(after);
+        self.schedule_wakeup_in(after);
     }
 
     fn subscribe_host_list(&mut self) {}
@@ -109,395 +120,464 @@
 }
 
 impl Proxy {
-    /// The connection that takes a forward to a host: the emptiest that is up, else one that is coming up, else a
-    /// new one. Where all are in use one more is opened for later, up to a few: one that is spoilt or reset takes
-    /// down what is out on it. It hurts a host that many dispatchers connect to, by a connection each.
+    /// Selects the connection for a forward to a host: the least loaded established one, else one that is being
+    /// established, else a new one. If all are in use, one more is opened for later forwards, up to
+    /// `MAX_LINKS_PER_HOST`, since a connection that is corrupted or reset fails all forwards on it. The cost, for a
+    /// host to which many dispatchers connect, is one more connection from each.
     ///
-    /// A GET that comes again takes no connection on which it was answered before: a second answer that comes late there
-    /// would be taken for the end of a forward that is still out.
-    fn link_to(&mut self, host: HostIndex, place: GetIndex) -> Result<Key, End> {
-        let before = &self.in_flight.peek(place).answered_on;
-        let (links, streams, own) = (&self.links, self.limits.streams, &self.hosts[host].links);
-        let open = own.iter().copied().filter(|&key| links[key].takes(streams) && !before.contains(&key));
-        let first = open.min_by_key(|&key| (!links[key].up, links[key].out.len()));
-        let Some(key) = first else { return self.open_link(host) };
-        let few = own.len() < LINKS_EACH.min(self.most_links / self.hosts.len());
-        if few && !links[key].out.is_empty() && own.iter().all(|&key| links[key].up || links[key].late) {
+    /// A resent GET does not use a connection on which it was answered before, because a late second reply to the
+    /// earlier forward would be taken for the reply to the new one.
+    fn select_link(&mut self, host: HostIndex, get_index: GetIndex) -> Result<ConnectionKey, End> {
+        let answered_on = &self.in_flight.get(get_index).answered_on;
+        let (links, streams, host_links) =
+            (&self.links, self.limits.streams_per_connection, &self.hosts[host].links);
+        let available = host_links
+            .iter()
+            .copied()
+            .filter(|&key| links[key].has_capacity(streams) && !answered_on.contains(&key));
+        let least_loaded = available.min_by_key(|&key| (!links[key].is_up, links[key].in_flight_gets.len()));
+        let Some(key) = least_loaded else { return self.open_link(host) };
+        let may_open_more = host_links.len() < MAX_LINKS_PER_HOST.min(self.max_links / self.hosts.len());
+        if may_open_more
+            && !links[key].in_flight_gets.is_empty()
+            && host_links.iter().all(|&key| links[key].is_up || links[key].is_late)
+        {
             let _ = self.open_link(host);
         }
         Ok(key)
     }
 
-    fn open_link(&mut self, host: HostIndex) -> Result<Key, End> {
+    /// Starts to connect to a host.
+    fn open_link(&mut self, host: HostIndex) -> Result<ConnectionKey, End> {
         if !self.has_room_for_link() {
             return Err(End::NeverSent);
         }
         let key = self.links.next_key();
         let address = self.hosts[host].address.ok_or(End::NoConnection)?;
-        let opening = Connection::connect(&self.hub, address, Who::Link(key), &self.accounts);
-        // What is amiss on this side is not held against the host.
-        let here =
+        let result =
+            Connection::connect(&self.event_loop, address, EventSource::Link(key), &self.resource_usage);
+        // Local faults are not attributed to the host.
+        let is_local_fault =
             |e: io::Error| !matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::HostUnreachable);
-        if opening.as_ref().is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused) {
-            self.lost_link(host, EndEvidence::DialRefused);
+        if result.as_ref().is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused) {
+            self.on_link_lost(host, EndEvidence::DialRefused);
         }
-        let connection = opening.map_err(|e| if here(e) { End::NeverSent } else { End::NoConnection })?;
+        let connection =
+            result.map_err(|e| if is_local_fault(e) { End::NeverSent } else { End::NoConnection })?;
         self.counters.links += 1;
         let now = self.now;
         let link = Link {
             connection,
             host,
-            up: false,
-            late: false,
-            since: now,
-            out: Vec::new(),
-            retired: false,
-            ended: false,
-            heard_at: now,
-            part_since: None,
-            used_at: now,
+            is_up: false,
+            is_late: false,
+            opened_at: now,
+            in_flight_gets: Vec::new(),
+            is_retired: false,
+            has_ended: false,
+            received_at: now,
+            partial_since: None,
+            last_used_at: now,
         };
         self.links.insert(key, link);
         self.hosts[host].links.push(key);
-        self.dues.push(Reverse((now + self.limits.connect, Due::Connect(key))));
+        self.timers.push(Reverse((now + self.limits.connect_timeout, Timer::ConnectTimeout(key))));
         Ok(key)
     }
 
-    /// Writes a forward as its host reads it; what the client sent goes on as it came.
-    fn write_forward(&mut self, key: Key, place: GetIndex) {
-        if !self.may_write(key, place) {
+    /// Writes a forward in the hosts' format. Fields that the client sent are copied unchanged.
+    fn write_forward(&mut self, key: ConnectionKey, get_index: GetIndex) {
+        if !self.may_send(key, get_index) {
             return;
         }
-        self.check_written(place);
-        let Self { in_flight, hosts, links, codec, pen, text, now, startup, doubted, .. } = self;
-        let pending = in_flight.at(place);
-        let Some(out) = &mut pending.out else { return };
-        let (request, to) = (&pending.request, &out.to);
-        text.clear();
-        put(text, "lane=", &codec.services[pending.get.ds]);
+        self.check_sent(get_index);
+        let Self {
+            in_flight,
+            hosts,
+            links,
+            codec,
+            write_buffer,
+            text_buffer,
+            now,
+            startup,
+            purges_unknown_since,
+            ..
+        } = self;
+        let pending = in_flight.get_mut(get_index);
+        let Some(forward) = &mut pending.forward else { return };
+        let (request, decision) = (&pending.request, &forward.decision);
+        text_buffer.clear();
+        put(text_buffer, "lane=", &codec.services[pending.get.ds]);
         for (name, value) in
             [(",name=", &request.key), (",piece=", &request.chunk), (",dedupe=", &request.token)]
         {
             if !value.is_empty() {
-                put(text, name, value);
+                put(text_buffer, name, value);
             }
         }
-        put_number(text, ",ttl=", out.until.saturating_sub(*now).as_millis().max(1));
-        if to.source != to.host {
-            put(text, ",up=", &hosts[to.source].name);
+        put_number(text_buffer, ",ttl=", forward.deadline.saturating_sub(*now).as_millis().max(1));
+        if decision.source != decision.host {
+            put(text_buffer, ",up=", &hosts[decision.source].name);
         }
-        if to.retention_rank > 0 {
-            put_number(text, ",store=", u128::from(to.retention_rank));
+        if decision.retention_rank > 0 {
+            put_number(text_buffer, ",store=", u128::from(decision.retention_rank));
         }
-        if !to.accepted_age.is_zero() {
-            // Zero would mean the fresh time, so that a limit is never rounded to it.
-            put_number(text, ",cap=", to.accepted_age.as_millis().max(1));
+        if !decision.accepted_age.is_zero() {
+            // A value of zero means the fresh time, so a shorter limit is rounded up to 1 ms.
+            put_number(text_buffer, ",cap=", decision.accepted_age.as_millis().max(1));
         }
-        let words = [(to.join_fill, "join"), (to.only_if_cached, "held"), (to.renew, "renew")];
-        let mut before = ",do=";
-        for (_, word) in words.iter().filter(|(said, _)| *said) {
-            put(text, before, word.as_bytes());
-            before = "+";
+        let flags =
+            [(decision.join_fill, "join"), (decision.only_if_cached, "held"), (decision.renew, "renew")];
+        let mut separator = ",do=";
+        for (_, word) in flags.iter().filter(|(is_set, _)| *is_set) {
+            put(text_buffer, separator, word.as_bytes());
+            separator = "+";
         }
-        // A client's copy is not called current before all purges are known.
-        if !request.held_version.is_empty() && startup.is_log_synced() && doubted.is_none() {
-            put(text, ",inm=", &request.held_version);
-            out.names_copy = true;
+        // The client's held version may only be reported as current while all purges are known.
+        if !request.held_version.is_empty() && startup.is_log_synced() && purges_unknown_since.is_none() {
+            put(text_buffer, ",inm=", &request.held_version);
+            forward.sent_version = true;
         }
-        resp::write_serve(pen, &request.id, text, &request.body);
+        resp::write_serve(write_buffer, &request.id, text_buffer, &request.body);
         let link = &mut links[key];
-        out.message = Some(link.connection.enqueue(pen.split().freeze()));
-        self.dirty.push(Who::Link(key));
+        forward.message = Some(link.connection.enqueue(write_buffer.split().freeze()));
+        self.pending_writes.push(EventSource::Link(key));
     }
 
-    pub fn link_up(&mut self, key: Key) {
+    /// Handles an established connection: sends the forwards that waited for it.
+    pub fn on_link_up(&mut self, key: ConnectionKey) {
         let now = self.now;
         let Some(link) = self.links.get_mut(key) else { return };
-        if std::mem::take(&mut link.late) {
-            self.came_up.push(link.host);
+        if std::mem::take(&mut link.is_late) {
+            self.late_connected_hosts.push(link.host);
         }
-        (link.up, link.since, link.heard_at, link.used_at) = (true, now, now, now);
+        (link.is_up, link.opened_at, link.received_at, link.last_used_at) = (true, now, now, now);
         self.connected.push(link.host);
-        for place in self.links[key].out.clone() {
-            self.write_forward(key, place);
+        for get_index in self.links[key].in_flight_gets.clone() {
+            self.write_forward(key, get_index);
         }
     }
 
-    /// A connection that will not come up: nothing that waited for it ever ran.
-    pub fn link_failed(&mut self, key: Key, why: ErrorKind) {
+    /// Handles a failed connection attempt. The forwards that waited for it have not run.
+    pub fn on_link_failed(&mut self, key: ConnectionKey, error: ErrorKind) {
         self.counters.links_failed += 1;
         let host = self.links[key].host;
-        self.end_link(key, End::NoConnection);
-        if why == ErrorKind::ConnectionRefused {
-            self.lost_link(host, EndEvidence::DialRefused);
+        self.fail_link(key, End::NoConnection);
+        if error == ErrorKind::ConnectionRefused {
+            self.on_link_lost(host, EndEvidence::DialRefused);
         }
     }
 
-    /// A connection that has not come up in time: nothing that waited for it ever ran, and goes elsewhere. It may still
-    /// come, and tells then that its host lives; until then another is opened for what is to go there.
+    /// Handles a connection that is not established within the connect timeout. The forwards that waited for it have
+    /// not run and are sent elsewhere. The attempt continues: if it succeeds, it shows that the host is alive. Until
+    /// then, forwards to the host open another connection.
     ///
-    /// Guards hosts whose connections come up late against being taken for dead, each new try coming up as late as the
-    /// last. It hurts by a descriptor for a host that is gone.
-    pub fn link_late(&mut self, key: Key) {
+    /// Without this, a host whose connections are always established late would be considered dead, since each new
+    /// attempt would be as late as the last. The cost is a descriptor for a host that is gone.
+    pub fn on_connect_timeout(&mut self, key: ConnectionKey) {
         self.counters.links_late += 1;
-        self.links[key].late = true;
-        self.end_forwards(key, End::NoConnection);
-        let (dialled, host) = (self.links[key].since, self.links[key].host);
-        self.dues.push(Reverse((dialled + DIAL_MOST, Due::Dial(key))));
-        let late = || self.hosts[host].links.iter().copied().filter(|&key| self.links[key].late);
-        if late().count() >= LINKS_EACH
-            && let Some(oldest) = late().min_by_key(|&key| self.links[key].since)
+        self.links[key].is_late = true;
+        self.fail_forwards(key, End::NoConnection);
+        let (dialled_at, host) = (self.links[key].opened_at, self.links[key].host);
+        self.timers.push(Reverse((dialled_at + DIAL_TIMEOUT, Timer::DialTimeout(key))));
+        let late_links = || self.hosts[host].links.iter().copied().filter(|&key| self.links[key].is_late);
+        if late_links().count() >= MAX_LINKS_PER_HOST
+            && let Some(oldest) = late_links().min_by_key(|&key| self.links[key].opened_at)
         {
             self.drop_link(oldest);
         }
     }
 
-    /// Ends a connection and what is out on it.
-    pub fn end_link(&mut self, key: Key, end: End) {
-        self.end_forwards(key, end);
+    /// Ends a connection and the forwards on it.
+    pub fn fail_link(&mut self, key: ConnectionKey, end: End) {
+        self.fail_forwards(key, end);
         self.drop_link(key);
     }
 
-    /// Ends what is out on a connection. A forward whose last byte never left is proven not run. One loss
-    /// is told of the host once, by its first forward: the others only went down with it.
-    fn end_forwards(&mut self, key: Key, end: End) {
-        let mut told = end == End::Spoilt;
-        for place in std::mem::take(&mut self.links[key].out) {
-            let Some(out) = self.in_flight.at(place).out.as_mut() else { continue };
-            out.link = None;
-            let left = out.message.is_some_and(|message| self.links[key].connection.is_written(message));
-            let end = match (left, std::mem::replace(&mut told, true)) {
+    /// Ends the forwards on a connection. A forward whose last byte was not sent has provably not run. One lost
+    /// connection is reported to the decision module as one failure of the host, by its first forward; the other
+    /// forwards get ends that do not count against the host.
+    fn fail_forwards(&mut self, key: ConnectionKey, end: End) {
+        let mut is_reported = end == End::Spoilt;
+        for get_index in std::mem::take(&mut self.links[key].in_flight_gets) {
+            let Some(forward) = self.in_flight.get_mut(get_index).forward.as_mut() else { continue };
+            forward.link = None;
+            let is_sent =
+                forward.message.is_some_and(|message| self.links[key].connection.is_written(message));
+            let end = match (is_sent, std::mem::replace(&mut is_reported, true)) {
                 (true, false) => end,
                 (true, true) => End::Spoilt,
                 (false, false) => End::NoConnection,
                 (false, true) => End::NeverSent,
             };
-            self.ended.push_back((place, out.serial, end));
+            self.ended_forwards.push_back((get_index, forward.serial, end));
         }
     }
 
-    /// Closes a connection that nothing is out on, in steps.
-    pub fn close_link(&mut self, key: Key) {
-        let link = self.take_link(key);
-        self.closing.start_close(Who::Link(key), link.connection, &mut self.shared, self.now);
+    /// Starts a lingering close of a connection without forwards.
+    pub fn close_link(&mut self, key: ConnectionKey) {
+        let link = self.remove_link(key);
+        self.closing.start_close(EventSource::Link(key), link.connection, &mut self.read_buffer, self.now);
     }
 
-    pub fn drop_link(&mut self, key: Key) {
-        self.take_link(key);
+    pub fn drop_link(&mut self, key: ConnectionKey) {
+        self.remove_link(key);
     }
 
-    fn take_link(&mut self, key: Key) -> Link {
+    fn remove_link(&mut self, key: ConnectionKey) -> Link {
         let link = self.links.remove(key);
-        debug_assert!(link.out.is_empty(), "a connection is dropped with a forward out");
+        debug_assert!(link.in_flight_gets.is_empty(), "a removed connection has no forward in flight");
         self.hosts[link.host].links.retain(|&other| other != key);
         link
     }
 
-    /// A forward that may not begin after now: one of which nothing has gone out is taken back.
-    pub fn too_late_to_begin(&mut self, place: GetIndex, serial: u64) {
-        let out = self.in_flight.at(place).out.filter(|out| out.serial == serial && out.link.is_some());
-        let Some(out) = out else { return };
-        if self.take_back(&out) {
-            self.give_up(place, &Out { message: None, ..out });
-            self.ended.push_back((place, serial, End::NeverSent));
+    /// Handles a forward's start deadline: a forward of which no byte was sent is cancelled.
+    pub fn on_start_deadline(&mut self, get_index: GetIndex, serial: u64) {
+        let forward = self
+            .in_flight
+            .get_mut(get_index)
+            .forward
+            .filter(|forward| forward.serial == serial && forward.link.is_some());
+        let Some(forward) = forward else { return };
+        if self.cancel_unsent_forward(&forward) {
+            self.abandon_forward(get_index, &InFlightForward { message: None, ..forward });
+            self.ended_forwards.push_back((get_index, serial, End::NeverSent));
         }
     }
 
-    /// Whether not a byte of a forward has gone out, so that it never will.
-    fn take_back(&mut self, out: &Out) -> bool {
-        let Some(key) = out.link else { return false };
-        out.message.is_none_or(|message| self.links[key].connection.cancel_unsent(message))
+    /// Cancels a forward of which no byte was sent. Returns whether it was cancelled, so that none will be sent.
+    fn cancel_unsent_forward(&mut self, forward: &InFlightForward) -> bool {
+        let Some(key) = forward.link else { return false };
+        forward.message.is_none_or(|message| self.links[key].connection.cancel_unsent(message))
     }
 
-    /// A forward's time is up.
-    pub fn overdue(&mut self, place: GetIndex, serial: u64) {
-        let out = self.in_flight.at(place).out.filter(|out| out.serial == serial && out.link.is_some());
-        let Some(out) = out else { return };
-        let end = if self.give_up(place, &out) { End::TimedOut } else { End::NeverSent };
-        self.ended.push_back((place, serial, end));
+    /// Handles a forward's timeout.
+    pub fn on_forward_timeout(&mut self, get_index: GetIndex, serial: u64) {
+        let forward = self
+            .in_flight
+            .get_mut(get_index)
+            .forward
+            .filter(|forward| forward.serial == serial && forward.link.is_some());
+        let Some(forward) = forward else { return };
+        let end = if self.abandon_forward(get_index, &forward) { End::TimedOut } else { End::NeverSent };
+        self.ended_forwards.push_back((get_index, serial, end));
     }
 
-    /// Takes a forward off its connection and tells the host, if it was told of it; false: it was told nothing.
-    fn give_up(&mut self, place: GetIndex, out: &Out) -> bool {
-        let sent = !self.take_back(out);
-        let Some(key) = out.link else { return sent };
-        if let Some(out) = &mut self.in_flight.at(place).out {
-            out.link = None;
+    /// Removes a forward from its connection and, if it was sent, tells the host to cancel it. Returns whether it was
+    /// sent.
+    fn abandon_forward(&mut self, get_index: GetIndex, forward: &InFlightForward) -> bool {
+        let was_sent = !self.cancel_unsent_forward(forward);
+        let Some(key) = forward.link else { return was_sent };
+        if let Some(forward) = &mut self.in_flight.get_mut(get_index).forward {
+            forward.link = None;
         }
-        let (now, connect, cancel) = (self.now, self.limits.connect, self.limits.cancel);
-        let Self { links, in_flight, pen, .. } = self;
+        let (now, connect_timeout, can_withdraw) =
+            (self.now, self.limits.connect_timeout, self.limits.can_withdraw);
+        let Self { links, in_flight, write_buffer, .. } = self;
         let link = &mut links[key];
-        link.out.retain(|&other| other != place);
-        link.used_at = now;
-        // Not a byte since it was sent, for longer than a connection may take: the other end may be gone without
-        // a word, and another connection tells. Hurts only by a handshake where a host is slow and all alone.
-        link.retired |= out.message.is_some() && link.heard_at <= out.at && now >= out.at + connect;
-        if sent && cancel {
-            resp::write_cancel(pen, &in_flight.at(place).request.id);
-            link.connection.enqueue(pen.split().freeze());
-            self.dirty.push(Who::Link(key));
+        link.in_flight_gets.retain(|&other| other != get_index);
+        link.last_used_at = now;
+        // No byte was received since the forward was sent, for longer than the connect timeout: the peer may be gone
+        // without closing, which a new connection will show. The cost is a needless handshake if the only host is slow.
+        link.is_retired |= forward.message.is_some()
+            && link.received_at <= forward.sent_at
+            && now >= forward.sent_at + connect_timeout;
+        if was_sent && can_withdraw {
+            resp::write_cancel(write_buffer, &in_flight.get_mut(get_index).request.id);
+            link.connection.enqueue(write_buffer.split().freeze());
+            self.pending_writes.push(EventSource::Link(key));
         }
-        sent
+        was_sent
     }
 
-    /// The next answer of a host that a forward waits for.
-    pub fn next_answered(&mut self) -> Option<(GetIndex, Outcome)> {
-        while let Some(&key) = self.heard_links.front() {
-            if let Some(answered) = self.read_link(key) {
-                return Some(answered);
+    /// The outcome of the next forward that a host has replied to.
+    pub fn next_reply_outcome(&mut self) -> Option<(GetIndex, Outcome)> {
+        while let Some(&key) = self.readable_links.front() {
+            if let Some(outcome) = self.read_link(key) {
+                return Some(outcome);
             }
-            self.heard_links.pop_front();
+            self.readable_links.pop_front();
         }
         None
     }
 
-    fn read_link(&mut self, key: Key) -> Option<(GetIndex, Outcome)> {
+    /// Parses the replies on a connection up to the next one that ends a forward.
+    fn read_link(&mut self, key: ConnectionKey) -> Option<(GetIndex, Outcome)> {
         loop {
             let Self { links, in_flight, .. } = self;
             let link = links.get_mut(key)?;
-            let answer = match link.connection.parse(resp::next_reply) {
-                Ok(Some(answer)) => answer,
+            let reply = match link.connection.parse(resp::next_reply) {
+                Ok(Some(reply)) => reply,
                 Ok(None) => {
-                    let part = link.connection.unparsed_bytes() > 0;
-                    if link.ended {
+                    let is_partial = link.connection.unparsed_bytes() > 0;
+                    if link.has_ended {
                         self.counters.links_broken += 1;
                         let host = link.host;
-                        self.end_link(key, if part { End::Spoilt } else { End::Reset });
-                        self.lost_link(host, EndEvidence::ConnectionsEnded);
-                    } else if part && link.part_since.is_none() {
-                        link.part_since = Some(self.now);
+                        self.fail_link(key, if is_partial { End::Spoilt } else { End::Reset });
+                        self.on_link_lost(host, EndEvidence::ConnectionsEnded);
+                    } else if is_partial && link.partial_since.is_none() {
+                        link.partial_since = Some(self.now);
                     }
                     return None;
                 }
-                Err(StreamError(what)) => {
-                    self.fault(format_args!("a host's connection is closed: {what}"));
-                    self.end_link(key, End::Spoilt);
+                Err(StreamError(error)) => {
+                    self.report_fault(format_args!(
+                        "invalid data on a host's connection, closing it: {error}"
+                    ));
+                    self.fail_link(key, End::Spoilt);
                     return None;
                 }
             };
-            if let Some(since) = link.part_since.take() {
-                self.counters.in_parts += 1;
-                self.counters.in_parts_us += (self.now - since).as_micros() as u64;
+            if let Some(since) = link.partial_since.take() {
+                self.counters.partial_replies += 1;
+                self.counters.partial_replies_us += (self.now - since).as_micros() as u64;
             }
-            let at = link.out.iter().position(|&place| in_flight.at(place).request.id == answer.id);
-            let Some(at) = at else {
-                self.counters.strays += 1;
+            let position = link
+                .in_flight_gets
+                .iter()
+                .position(|&get_index| in_flight.get_mut(get_index).request.id == reply.id);
+            let Some(position) = position else {
+                self.counters.unmatched_replies += 1;
                 continue;
             };
-            let place = link.out.swap_remove(at);
-            link.used_at = self.now;
-            let ds = self.in_flight.at(place).get.ds;
-            let end = self.codec.end(ds, &answer).unwrap_or_else(|| {
-                self.fault(format_args!("a host answers {} and no more", answer.status.escape_ascii()));
+            let get_index = link.in_flight_gets.swap_remove(position);
+            link.last_used_at = self.now;
+            let ds = self.in_flight.get_mut(get_index).get.ds;
+            let end = self.codec.reply_end(ds, &reply).unwrap_or_else(|| {
+                let status = reply.status.escape_ascii();
+                self.report_fault(format_args!(
+                    "unusable reply with status {status}; the forward counts as failed"
+                ));
                 End::Spoilt
             });
-            if let Some(outcome) = self.answered(place, end, answer) {
-                return Some((place, outcome));
+            if let Some(outcome) = self.on_reply(get_index, end, reply) {
+                return Some((get_index, outcome));
             }
         }
     }
 
-    fn answered(&mut self, place: GetIndex, mut end: End, answer: resp::Reply) -> Option<Outcome> {
-        let pending = self.in_flight.at(place);
-        let out = pending.out.take();
+    /// Handles a reply to a forward, and answers the client if the reply is the object.
+    fn on_reply(&mut self, get_index: GetIndex, mut end: End, reply: resp::Reply) -> Option<Outcome> {
+        let pending = self.in_flight.get_mut(get_index);
+        let forward = pending.forward.take();
         if end != End::Returned {
-            pending.answered_on.extend(out.and_then(|out| out.link));
+            pending.answered_on.extend(forward.and_then(|forward| forward.link));
         }
-        self.counters.must(out.is_some(), "an answer is matched to a forward that is out");
-        let told = Told {
-            note: codec::note(&answer),
-            source_wait: answer
+        self.counters.check_invariant(forward.is_some(), "a reply is matched to a forward in flight");
+        let details = ReplyDetails {
+            note: codec::reply_note(&reply),
+            source_wait: reply
                 .field("fill")
-                .and_then(codec::number)
+                .and_then(codec::parse_number)
                 .map_or(Duration::ZERO, duration_from_ms),
-            load: codec::load(&answer),
+            load: codec::reply_load(&reply),
         };
-        if end == End::Returned && self.in_flight.at(place).owed.is_some() {
-            if let Some(out) = &out {
-                self.log_late(place, out, &told);
+        if end == End::Returned && self.in_flight.get_mut(get_index).client.is_some() {
+            if let Some(forward) = &forward {
+                self.log_late(get_index, forward, &details);
             }
-            let names_copy = out.is_some_and(|out| out.names_copy);
-            match self.returned(place, names_copy, answer) {
-                Some(answer) => _ = self.pay(place, &answer),
+            let sent_version = forward.is_some_and(|forward| forward.sent_version);
+            match self.response_from_reply(get_index, sent_version, reply) {
+                Some(response) => _ = self.answer(get_index, &response),
                 None => {
                     end = End::Spoilt;
-                    self.in_flight.at(place).answered_on.extend(out.and_then(|out| out.link));
+                    self.in_flight
+                        .get_mut(get_index)
+                        .answered_on
+                        .extend(forward.and_then(|forward| forward.link));
                 }
             }
         }
-        Some(self.outcome(place, &out?, end, told))
+        Some(self.outcome(get_index, &forward?, end, details))
     }
 
-    /// One line, by the request's id, on a GET returned after its class's objective: where it went, from which
+    /// Logs a GET that was returned after its class's latency objective, with the request's id, the host, the fill
     /// source, how long the host waited for that source, and how long the forward took.
-    fn log_late(&mut self, place: GetIndex, out: &Out, told: &Told) {
-        let pending = self.in_flight.at(place);
-        let (in_hand, ds) = (pending.in_hand(self.now), pending.get.ds);
-        if in_hand <= self.limits.aim(ds) {
+    fn log_late(&mut self, get_index: GetIndex, forward: &InFlightForward, details: &ReplyDetails) {
+        let pending = self.in_flight.get_mut(get_index);
+        let (age, ds) = (pending.age(self.now), pending.get.ds);
+        if age <= self.limits.objective(ds) {
             return;
         }
-        let Some(unsaid) = self.may_log_end() else { return };
-        let pending = self.in_flight.at(place);
-        let (id, class, hops) = (String::from_utf8_lossy(&pending.request.id).into_owned(), ds, pending.hops);
-        let host = String::from_utf8_lossy(&self.hosts[out.to.host].name).into_owned();
-        let source = String::from_utf8_lossy(&self.hosts[out.to.source].name).into_owned();
-        let (in_hand_ms, forward_ms) = (in_hand.as_millis(), self.now.saturating_sub(out.at).as_millis());
-        let fill_ms = told.source_wait.as_millis();
-        log::info!(id:%, class, forwards = hops, in_hand_ms, forward_ms, host:%, source:%, fill_ms, unsaid;
+        let Some(suppressed) = self.take_end_log_line() else { return };
+        let pending = self.in_flight.get_mut(get_index);
+        let (id, class, attempts) =
+            (String::from_utf8_lossy(&pending.request.id).into_owned(), ds, pending.attempts);
+        let host = String::from_utf8_lossy(&self.hosts[forward.decision.host].name).into_owned();
+        let source = String::from_utf8_lossy(&self.hosts[forward.decision.source].name).into_owned();
+        let (in_hand_ms, forward_ms) =
+            (age.as_millis(), self.now.saturating_sub(forward.sent_at).as_millis());
+        let fill_ms = details.source_wait.as_millis();
+        log::info!(id:%, class, forwards = attempts, in_hand_ms, forward_ms, host:%, source:%, fill_ms,
+            unsaid = suppressed;
             "late");
     }
 
-    /// The next forward that ended here.
-    pub fn next_ended(&mut self) -> Option<(GetIndex, Outcome)> {
-        while let Some((place, serial, end)) = self.ended.pop_front() {
-            let out = self.in_flight.at(place).out.take_if(|out| out.serial == serial);
-            if let Some(out) = out {
-                return Some((place, self.outcome(place, &out, end, Told::default())));
+    /// The outcome of the next forward that ended without a reply.
+    pub fn next_ended_outcome(&mut self) -> Option<(GetIndex, Outcome)> {
+        while let Some((get_index, serial, end)) = self.ended_forwards.pop_front() {
+            let forward =
+                self.in_flight.get_mut(get_index).forward.take_if(|forward| forward.serial == serial);
+            if let Some(forward) = forward {
+                return Some((get_index, self.outcome(get_index, &forward, end, ReplyDetails::default())));
             }
         }
         None
     }
 
-    fn outcome(&mut self, place: GetIndex, out: &Out, end: End, told: Told) -> Outcome {
-        let Told { note, source_wait, load } = told;
-        self.counters.ended(end, note);
-        self.filled_from_origin += u32::from(note == Note::FilledFromOrigin);
-        let (ds, spent) = (self.in_flight.at(place).get.ds, self.now - out.at);
+    /// Records the end of a forward and builds its outcome for the decision module.
+    fn outcome(
+        &mut self,
+        get_index: GetIndex,
+        forward: &InFlightForward,
+        end: End,
+        details: ReplyDetails,
+    ) -> Outcome {
+        let ReplyDetails { note, source_wait, load } = details;
+        self.counters.record_end(end, note);
+        self.origin_fills += u32::from(note == Note::FilledFromOrigin);
+        let (ds, elapsed) = (self.in_flight.get_mut(get_index).get.ds, self.now - forward.sent_at);
         if let Some(zones) = &mut self.zones {
-            let late = spent > self.limits.aim(ds);
+            let is_late = elapsed > self.limits.objective(ds);
             let filled = match note {
-                Note::Filled | Note::FilledFromOrigin => Some((ds, late)),
+                Note::Filled | Note::FilledFromOrigin => Some((ds, is_late)),
                 Note::SourceRefused | Note::SourceBroke | Note::OriginFailed => Some((ds, true)),
                 _ => None,
             };
-            zones.saw(out.to.host, out.to.source, end, late && source_wait * 2 < spent, filled);
+            zones.record_outcome(
+                forward.decision.host,
+                forward.decision.source,
+                end,
+                is_late && source_wait * 2 < elapsed,
+                filled,
+            );
         }
-        let pending = self.in_flight.at(place);
-        pending.last = Some((out.to.host, end, note));
+        let pending = self.in_flight.get_mut(get_index);
+        pending.last_end = Some((forward.decision.host, end, note));
         pending.may_have_run |= !end.proves_not_run() && end != End::Returned;
-        let closed = pending.owed.is_none();
-        Outcome { attempt: out.hop, end, elapsed: spent, is_answered: closed, note, source_wait, load }
+        let is_answered = pending.client.is_none();
+        Outcome { attempt: forward.attempt, end, elapsed, is_answered, note, source_wait, load }
     }
 }
 
-/// What an answer tells beside its bytes.
-struct Told {
+/// What a reply reports besides the object.
+struct ReplyDetails {
     note: Note,
     source_wait: Duration,
     load: LoadReport,
 }
 
-impl Default for Told {
+impl Default for ReplyDetails {
     fn default() -> Self {
         Self { note: Note::Untold, source_wait: Duration::ZERO, load: LoadReport::default() }
     }
 }
 
-fn put(text: &mut Vec<u8>, name: &str, value: &[u8]) {
-    text.extend_from_slice(name.as_bytes());
-    text.extend_from_slice(value);
+fn put(output: &mut Vec<u8>, name: &str, value: &[u8]) {
+    output.extend_from_slice(name.as_bytes());
+    output.extend_from_slice(value);
 }
 
-fn put_number(text: &mut Vec<u8>, name: &str, value: u128) {
-    write!(text, "{name}{value}").expect("a vector takes all that is written");
+fn put_number(output: &mut Vec<u8>, name: &str, value: u128) {
+    write!(output, "{name}{value}").expect("writing to a vector does not fail");
 }
--- a/crates/dispatcher/src/routing/guards.rs
+++ b/crates/dispatcher/src/routing/guards.rs
@@ -1,24 +1,25 @@
-//! The last look before what can't be taken back: sending a forward, sending again what may have run, closing a connection, and
-//! sending to a host in slow start. All paths go through these guards. Beside each stands a check of its own, which
-//! looks at what is really done and counts what breaks the rule: zero unless a guard is missing.
+//! Guards in front of actions that can't be undone: sending a forward, resending a request that may have run, closing
+//! a connection, and sending to a host in slow start. All code paths go through these guards. Each guard has an
+//! independent check that inspects the action performed and counts violations of the rule. The count is zero unless a
+//! guard is missing.
 
-use super::Key;
-use super::in_flight::{Out, Pending};
+use super::ConnectionKey;
+use super::in_flight::{InFlightForward, PendingGet};
 use super::proxy::Proxy;
 use myrtlegauge::interface::{End, GetIndex, HostStatus, Settings};
 use std::fmt;
 use std::time::Duration;
 
-/// What must never be done.
+/// A rule that no action may violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A forward leaves for nobody, too late, or to or through a host that takes nothing.
+    /// No forward is sent without a waiting client, after its deadline, or to or through a host that is not active.
     Sending,
-    /// What may have run, and may not run twice, is sent again, or its client is told that it never ran.
+    /// A request that may have run, and may not run twice, is neither resent nor reported to its client as not run.
     Repeating,
-    /// A connection is closed whose client is owed an answer.
+    /// No connection is closed whose client waits for an answer.
     Closing,
-    /// A host in slow start gets more than this router's share.
+    /// A host in slow start gets no more than this router's share.
     Starting,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// Which guards are there; tests leave one out to see its check fire.
+/// The enabled guards. Tests disable one to see that its check counts violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     pub sending: bool,
@@ -47,7 +48,7 @@
 impl Guards {
     pub const ALL: Self = Self { sending: true, repeating: true, closing: true, starting: true };
 
-    /// All but one.
+    /// All guards except that of `rule`.
     pub fn without(rule: Rule) -> Self {
         let mut guards = Self::ALL;
         match rule {
@@ -64,148 +65,157 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    /// Repeats under its token are dropped for a while.
+    /// Hosts drop repeats with the same token during a retry window.
     Tokened,
-    Once,
+    AtMostOnce,
 }
 
 impl Effect {
-    /// Each class's effect, as the settings tell it.
+    /// Reads the effect of each delivery service from the settings.
     pub fn read_all(settings: &Settings) -> Vec<Self> {
         let classes = settings.get("classes").and_then(|value| value.as_array()).into_iter().flatten();
         let effect = |class: &serde_json::Value| match class.get("effect").and_then(|value| value.as_str()) {
             Some("idempotent") => Self::Idempotent,
             Some("deduplicated") => Self::Tokened,
-            _ => Self::Once,
+            _ => Self::AtMostOnce,
         };
         classes.map(effect).collect()
     }
 }
 
-/// Why a forward may not leave.
+/// Why a forward may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsendable {
+pub enum SendRefusal {
     ClientLeft,
-    OutOfTime,
-    HostTakesNothing,
-    SourceTakesNothing,
-    MayHaveRun,
-    RepeatTooLate,
+    DeadlinePassed,
+    HostInactive,
+    SourceInactive,
+    MayHaveExecuted,
+    RetryWindowOver,
 }
 
-impl Unsendable {
+impl SendRefusal {
     fn rule(self) -> Rule {
         match self {
-            Self::ClientLeft | Self::OutOfTime | Self::HostTakesNothing | Self::SourceTakesNothing => {
+            Self::ClientLeft | Self::DeadlinePassed | Self::HostInactive | Self::SourceInactive => {
                 Rule::Sending
             }
-            Self::MayHaveRun | Self::RepeatTooLate => Rule::Repeating,
+            Self::MayHaveExecuted | Self::RetryWindowOver => Rule::Repeating,
         }
     }
 }
 
-impl fmt::Display for Unsendable {
+impl fmt::Display for SendRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::ClientLeft => "its client has left",
-            Self::OutOfTime => "its time is over",
-            Self::HostTakesNothing => "its host drains or is gone",
-            Self::SourceTakesNothing => "its source drains or is gone",
-            Self::MayHaveRun => "it may have run and may not run twice",
-            Self::RepeatTooLate => "its repeat is no longer dropped",
+            Self::ClientLeft => "its client disconnected or has been answered",
+            Self::DeadlinePassed => "its deadline has passed",
+            Self::HostInactive => "its host is draining or removed",
+            Self::SourceInactive => "its source is draining or removed",
+            Self::MayHaveExecuted => "it may have run and must not run twice",
+            Self::RetryWindowOver => "the window in which hosts drop its repeats is over",
         })
     }
 }
 
 impl Proxy {
-    /// What keeps a forward from leaving now, by the facts as they are at this moment.
-    fn unsendable(&self, pending: &Pending, out: &Out) -> Option<Unsendable> {
-        let is_on = |host: usize| self.hosts[host].entry.status == HostStatus::Active;
-        let repeats = pending.may_have_run;
-        let effect = self.effects.get(pending.get.ds).copied().unwrap_or(Effect::Once);
-        let window_over = out.to.start_deadline > Duration::ZERO && self.now >= out.to.start_deadline;
+    /// Why a forward may not be sent now, judged by the current state.
+    fn send_refusal(&self, pending: &PendingGet, forward: &InFlightForward) -> Option<SendRefusal> {
+        let is_active = |host: usize| self.hosts[host].entry.status == HostStatus::Active;
+        let is_resend = pending.may_have_run;
+        let effect = self.effects.get(pending.get.ds).copied().unwrap_or(Effect::AtMostOnce);
+        let is_retry_window_over =
+            forward.decision.start_deadline > Duration::ZERO && self.now >= forward.decision.start_deadline;
         match () {
-            () if pending.owed.is_none() => Some(Unsendable::ClientLeft),
-            () if self.now >= out.until => Some(Unsendable::OutOfTime),
-            () if !is_on(out.to.host) => Some(Unsendable::HostTakesNothing),
-            () if !is_on(out.to.source) => Some(Unsendable::SourceTakesNothing),
-            () if repeats && effect == Effect::Once => Some(Unsendable::MayHaveRun),
-            () if repeats && effect == Effect::Tokened && window_over => Some(Unsendable::RepeatTooLate),
+            () if pending.client.is_none() => Some(SendRefusal::ClientLeft),
+            () if self.now >= forward.deadline => Some(SendRefusal::DeadlinePassed),
+            () if !is_active(forward.decision.host) => Some(SendRefusal::HostInactive),
+            () if !is_active(forward.decision.source) => Some(SendRefusal::SourceInactive),
+            () if is_resend && effect == Effect::AtMostOnce => Some(SendRefusal::MayHaveExecuted),
+            () if is_resend && effect == Effect::Tokened && is_retry_window_over => {
+                Some(SendRefusal::RetryWindowOver)
+            }
             () => None,
         }
     }
 
-    /// The guard of sending and repeating: whether a forward may be written to its connection now. One that may not never ran,
-    /// and is decided again.
-    pub fn may_write(&mut self, key: Key, place: GetIndex) -> bool {
-        let pending = self.in_flight.peek(place);
-        let Some(out) = pending.out else { return false };
-        let Some(why) = self.unsendable(pending, &out).filter(|why| self.is_guarded(why.rule())) else {
+    /// Guard of sending and repeating: whether a forward may be written to its connection now. A withheld forward has
+    /// not run and is decided again.
+    pub fn may_send(&mut self, key: ConnectionKey, get_index: GetIndex) -> bool {
+        let pending = self.in_flight.get(get_index);
+        let Some(forward) = pending.forward else { return false };
+        let Some(refusal) =
+            self.send_refusal(pending, &forward).filter(|refusal| self.is_guarded(refusal.rule()))
+        else {
             return true;
         };
         let id = pending.id;
-        log::info!(id:? = format_args!("{id:016x}"), host = out.to.host; "not sent: {why}");
-        self.counters.not_sent += 1;
-        self.links[key].out.retain(|&other| other != place);
-        if let Some(out) = &mut self.in_flight.at(place).out {
-            out.link = None;
+        log::info!(id:? = format_args!("{id:016x}"), host = forward.decision.host;
+            "forward withheld, deciding again: {refusal}");
+        self.counters.withheld += 1;
+        self.links[key].in_flight_gets.retain(|&other| other != get_index);
+        if let Some(forward) = &mut self.in_flight.get_mut(get_index).forward {
+            forward.link = None;
         }
-        self.ended.push_back((place, out.serial, End::NeverSent));
+        self.ended_forwards.push_back((get_index, forward.serial, End::NeverSent));
         false
     }
 
-    /// The check of both: what is written breaks no rule.
-    pub fn check_written(&mut self, place: GetIndex) {
-        let pending = self.in_flight.peek(place);
-        let unsendable = pending.out.and_then(|out| self.unsendable(pending, &out));
-        if let Some(why) = unsendable {
+    /// Check of sending and repeating: a forward that is sent violates neither rule.
+    pub fn check_sent(&mut self, get_index: GetIndex) {
+        let pending = self.in_flight.get(get_index);
+        let unsendable = pending.forward.and_then(|forward| self.send_refusal(pending, &forward));
+        if let Some(refusal) = unsendable {
             let id = pending.id;
-            self.counters.violated(why.rule(), format_args!("request {id:016x} is sent though {why}"));
+            self.counters.record_violation(
+                refusal.rule(),
+                format_args!("forward of request {id:016x} is sent although {refusal}"),
+            );
         }
     }
 
-    /// The guard of rejecting: whether a client may be told that its request never ran.
-    pub fn may_reject(&self, place: GetIndex) -> bool {
-        !self.is_guarded(Rule::Repeating) || !self.ran_perhaps(place)
+    /// Guard of repeating, for rejections: whether a client may be told that its request did not run.
+    pub fn may_reject(&self, get_index: GetIndex) -> bool {
+        !self.is_guarded(Rule::Repeating) || !self.may_have_executed(get_index)
     }
 
-    /// Its check.
-    pub fn check_rejected(&mut self, place: GetIndex) {
-        if self.ran_perhaps(place) {
-            let id = self.in_flight.peek(place).id;
-            self.counters.violated(
+    /// Check of repeating, for rejections.
+    pub fn check_rejected(&mut self, get_index: GetIndex) {
+        if self.may_have_executed(get_index) {
+            let id = self.in_flight.get(get_index).id;
+            self.counters.record_violation(
                 Rule::Repeating,
-                format_args!("request {id:016x} is rejected though it may have run"),
+                format_args!("request {id:016x} is rejected as not run although it may have run"),
             );
         }
     }
 
-    /// An effect that is not to run twice may have run, or may still.
-    fn ran_perhaps(&self, place: GetIndex) -> bool {
-        let pending = self.in_flight.peek(place);
-        let effect = self.effects.get(pending.get.ds).copied().unwrap_or(Effect::Once);
-        let is_out = pending.out.is_some_and(|out| out.message.is_some());
-        effect == Effect::Once && (pending.may_have_run || is_out)
+    /// Whether a request that must not run twice may have run or may still run.
+    fn may_have_executed(&self, get_index: GetIndex) -> bool {
+        let pending = self.in_flight.get(get_index);
+        let effect = self.effects.get(pending.get.ds).copied().unwrap_or(Effect::AtMostOnce);
+        let is_sent = pending.forward.is_some_and(|forward| forward.message.is_some());
+        effect == Effect::AtMostOnce && (pending.may_have_run || is_sent)
     }
 
-    /// The guard of closing: whether a client's connection may be closed. One that is owed an answer is read no further, and
-    /// closed once it has that.
-    pub fn may_close(&mut self, key: Key) -> bool {
+    /// Guard of closing: whether a client's connection may be closed now. If the client waits for an answer, further
+    /// input is ignored and the connection is closed after the answer.
+    pub fn may_close(&mut self, key: ConnectionKey) -> bool {
         let is_guarded = self.is_guarded(Rule::Closing);
         let client = &mut self.clients[key];
-        let is_owed = !client.ended && !client.open.is_empty();
-        if is_owed && is_guarded {
-            (client.last, client.reads_no_further) = (true, true);
+        let awaits_answer = !client.has_ended && !client.open_requests.is_empty();
+        if awaits_answer && is_guarded {
+            (client.closes_after_answers, client.ignores_input) = (true, true);
         }
-        !is_owed || !is_guarded
+        !awaits_answer || !is_guarded
     }
 
-    /// Its check, as a connection is taken out.
-    pub fn check_closed(&mut self, is_ended: bool, owed: usize) {
-        if !is_ended && owed > 0 {
-            self.counters.violated(
+    /// Check of closing, when a connection is removed.
+    pub fn check_closed(&mut self, has_ended: bool, open_requests: usize) {
+        if !has_ended && open_requests > 0 {
+            self.counters.record_violation(
                 Rule::Closing,
-                format_args!("a connection is closed that {owed} answers are owed on"),
+                format_args!("a client's connection is closed with {open_requests} unanswered requests"),
             );
         }
     }
--- a/crates/dispatcher/src/routing/hosts.rs
+++ b/crates/dispatcher/src/routing/hosts.rs
@@ -1,45 +1,51 @@
-//! Cache hosts, parents and the origin as they are connected to. A connection belongs to one life of one host.
+//! Connections to cache hosts, parents and the origin. A connection belongs to one incarnation of one host.
 
-use super::{Dispatcher, Key};
+use super::{ConnectionKey, Dispatcher};
 use bytes::Bytes;
 use myrtlegauge::interface::{GetIndex, HostEntry, HostIndex};
 use myrtlegauge_wire::transport::Connection;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// A host of the list with its connections.
 pub struct Host {
     pub name: Bytes,
-    /// As the list told it last.
+    /// The host's entry as last listed.
     pub entry: HostEntry,
     pub address: Option<SocketAddr>,
-    /// Since when it is gone; nothing is sent there any more.
-    pub gone_at: Option<Duration>,
-    /// When all connections to it had ended at its end, or a dial was refused, for the last time.
+    /// When the host was removed from the list. Nothing is sent to a removed host.
+    pub removed_at: Option<Duration>,
+    /// The last time that all connections were ended by the host, or that a connection attempt was refused.
     pub process_ended_at: Option<Duration>,
-    pub links: Vec<Key>,
+    pub links: Vec<ConnectionKey>,
 }
 
+/// A connection to a host.
 pub struct Link {
     pub connection: Connection<Dispatcher>,
     pub host: HostIndex,
-    pub up: bool,
-    /// It did not come up in the time that GETs wait for it, and may still.
-    pub late: bool,
-    /// When it came up, or, before that, when it was asked for.
-    pub since: Duration,
-    /// GETs with a forward out here, those that wait for it to come up included.
-    pub out: Vec<GetIndex>,
-    /// Takes nothing new: its host has started anew, or something out here was given up in silence.
-    pub retired: bool,
-    pub ended: bool,
-    pub heard_at: Duration,
-    /// Since when a part of an answer waits for its rest.
-    pub part_since: Option<Duration>,
-    pub used_at: Duration,
+    pub is_up: bool,
+    /// Whether the connection was not established within the connect timeout. It may still be.
+    pub is_late: bool,
+    /// When the connection was established; before that, when it was dialled.
+    pub opened_at: Duration,
+    /// GETs with a forward on this connection, including those that wait for it to be established.
+    pub in_flight_gets: Vec<GetIndex>,
+    /// Takes no new forwards: the host has restarted, or a forward was given up without a byte received.
+    pub is_retired: bool,
+    pub has_ended: bool,
+    pub received_at: Duration,
+    /// Since when an incomplete reply has been waiting for its remaining bytes.
+    pub partial_since: Option<Duration>,
+    pub last_used_at: Duration,
 }
 
 impl Link {
-    pub fn takes(&self, streams: usize) -> bool {
-        !self.retired && !self.ended && !self.late && self.out.len() < streams
+    /// Whether the connection takes another forward.
+    pub fn has_capacity(&self, streams_per_connection: usize) -> bool {
+        !self.is_retired
+            && !self.has_ended
+            && !self.is_late
+            && self.in_flight_gets.len() < streams_per_connection
     }
 }
--- a/crates/dispatcher/src/routing/in_flight.rs
+++ b/crates/dispatcher/src/routing/in_flight.rs
@@ -1,97 +1,100 @@
-//! GETs in hand, each in the place that the module gave it.
+//! GETs in flight, stored at the index that the decision module gave each of them.
 
-use super::Key;
+use super::ConnectionKey;
 use myrtlegauge::interface::{End, Forward, Get, GetIndex, HostIndex, Note};
 use myrtlegauge_wire::protocol::fastcgi::Request;
 use std::collections::HashSet;
 use std::time::Duration;
 
+/// A GET that was taken and is not yet released by the decision module.
 #[derive(Default)]
-pub struct Pending {
-    /// The client's connection and the request there; none once answered or abandoned.
-    pub owed: Option<(Key, u16)>,
+pub struct PendingGet {
+    /// The client's connection and the request's number on it; `None` once the GET is answered or abandoned.
+    pub client: Option<(ConnectionKey, u16)>,
     pub id: u64,
-    /// As it came; what goes on unchanged is taken from here.
+    /// The request as received. Fields that are forwarded unchanged are copied from here.
     pub request: Request,
     pub get: Get,
-    pub until: Duration,
-    pub hops: u32,
-    pub out: Option<Out>,
-    /// An earlier forward of it is not proven not to have run.
+    pub deadline: Duration,
+    pub attempts: u32,
+    pub forward: Option<InFlightForward>,
+    /// Whether an earlier forward of this GET may have run.
     pub may_have_run: bool,
-    /// Connections on which an earlier forward of it was answered: what else comes there under its id is of that one.
-    pub answered_on: Vec<Key>,
-    /// Where the last forward that ended went, how it ended, and the note its answer carried: for the log.
-    pub last: Option<(HostIndex, End, Note)>,
+    /// Connections on which an earlier forward of this GET was answered. Any further reply with its id on one of them
+    /// belongs to that earlier forward.
+    pub answered_on: Vec<ConnectionKey>,
+    /// Host, end and note of the last forward that ended, for the log.
+    pub last_end: Option<(HostIndex, End, Note)>,
 }
 
-impl Pending {
-    /// How long it has been in hand: it was taken a viewer timeout before its `until`.
-    pub fn in_hand(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.until.saturating_sub(self.get.viewer_timeout))
+impl PendingGet {
+    /// Time since the GET was taken, which was one viewer timeout before its deadline.
+    pub fn age(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.deadline.saturating_sub(self.get.viewer_timeout))
     }
 }
 
-/// A forward that is out.
+/// A forward that has not ended.
 #[derive(Clone, Copy)]
-pub struct Out {
-    pub hop: u32,
-    /// Tells it from all others.
+pub struct InFlightForward {
+    pub attempt: u32,
+    /// Unique among all forwards of this process.
     pub serial: u64,
-    pub at: Duration,
-    pub until: Duration,
-    pub link: Option<Key>,
-    /// Its message on the connection, by its number there; none while it waits for one to come up.
+    pub sent_at: Duration,
+    pub deadline: Duration,
+    pub link: Option<ConnectionKey>,
+    /// Number of its message on the connection; `None` while the connection is not established.
     pub message: Option<u64>,
-    /// The tag of the client's copy went with it.
-    pub names_copy: bool,
-    pub to: Forward,
+    /// Whether the tag of the client's held version was sent with it.
+    pub sent_version: bool,
+    pub decision: Forward,
 }
 
+/// All GETs in flight.
 #[derive(Default)]
-pub struct InFlight {
-    places: Vec<Pending>,
+pub struct InFlightGets {
+    slots: Vec<PendingGet>,
     ids: HashSet<u64>,
-    pub owed: usize,
+    pub unanswered_count: usize,
 }
 
-impl InFlight {
-    pub fn open(&mut self, place: GetIndex, pending: Pending) {
-        if self.places.len() <= place {
-            self.places.resize_with(place + 1, Pending::default);
+impl InFlightGets {
+    pub fn insert(&mut self, get_index: GetIndex, pending: PendingGet) {
+        if self.slots.len() <= get_index {
+            self.slots.resize_with(get_index + 1, PendingGet::default);
         }
-        self.owed += 1;
+        self.unanswered_count += 1;
         self.ids.insert(pending.id);
-        self.places[place] = pending;
+        self.slots[get_index] = pending;
     }
 
-    pub fn peek(&self, place: GetIndex) -> &Pending {
-        &self.places[place]
+    pub fn get(&self, get_index: GetIndex) -> &PendingGet {
+        &self.slots[get_index]
     }
 
-    pub fn at(&mut self, place: GetIndex) -> &mut Pending {
-        &mut self.places[place]
+    pub fn get_mut(&mut self, get_index: GetIndex) -> &mut PendingGet {
+        &mut self.slots[get_index]
     }
 
-    /// The GETs that are owed an answer.
-    pub fn places(&self) -> Vec<GetIndex> {
-        (0..self.places.len()).filter(|&place| self.places[place].owed.is_some()).collect()
+    /// Indices of the GETs whose clients wait for an answer.
+    pub fn unanswered(&self) -> Vec<GetIndex> {
+        (0..self.slots.len()).filter(|&get_index| self.slots[get_index].client.is_some()).collect()
     }
 
-    /// Takes away what is owed, so that it can be paid once only.
-    pub fn settle(&mut self, place: GetIndex) -> Option<(Key, u16)> {
-        let owed = self.places[place].owed.take()?;
-        self.owed -= 1;
-        Some(owed)
+    /// Removes and returns the client that waits for an answer, so that each GET is answered at most once.
+    pub fn take_client(&mut self, get_index: GetIndex) -> Option<(ConnectionKey, u16)> {
+        let client = self.slots[get_index].client.take()?;
+        self.unanswered_count -= 1;
+        Some(client)
     }
 
-    /// A GET under this id is in hand, or what was sent on for it is still out.
-    pub fn holds(&self, id: u64) -> bool {
+    /// Whether a GET with this id, or a forward of one, is in flight.
+    pub fn contains_id(&self, id: u64) -> bool {
         self.ids.contains(&id)
     }
 
-    pub fn clear(&mut self, place: GetIndex) {
-        self.ids.remove(&self.places[place].id);
-        self.places[place] = Pending::default();
+    pub fn remove(&mut self, get_index: GetIndex) {
+        self.ids.remove(&self.slots[get_index].id);
+        self.slots[get_index] = PendingGet::default();
     }
 }
--- a/crates/dispatcher/src/routing/lifecycle.rs
+++ b/crates/dispatcher/src/routing/lifecycle.rs
@@ -1,27 +1,28 @@
-//! How a dispatcher ends, as a state machine without I/O: time comes in, the state comes out.
+//! Graceful shutdown of a dispatcher, as a state machine without I/O: the caller passes the time in and reads the
+//! state.
 //!
-//! | state | clients' connections | GETs | leaves it |
+//! | state | client connections | GETs | left when |
 //! | --- | --- | --- | --- |
-//! | serving | taken | taken | asked to end |
-//! | draining | taken; `/health` answers 503 | taken, with no more time than is left | no more are to come, by the page |
-//! | closing | the listener is closed once its queue is empty; each is closed in steps once it is quiet | refused as overloaded, never forwarded | all are closed, or the end is near |
+//! | serving | accepted | taken | shutdown is requested |
+//! | draining | accepted; `/health` answers 503 | taken, with at most the remaining time | by the protocol page, no more will come |
+//! | closing | the listener is closed once its queue is empty; each connection gets a lingering close once it is idle | refused as overloaded, never forwarded | all are closed, or the shutdown deadline is reached |
 //! | done | none | none | |
 //!
-//! Asked once more, whatever the state, it goes on as it is.
+//! A repeated shutdown request has no effect in any state.
 
 use std::time::Duration;
 
-/// Requests come for so long after a restart is asked for, by the protocol page: new connections for 0.4 s, requests on
-/// open ones for 0.2 s more; and 0.1 s beside, for one that was on its way over a slow network.
-const TAKES_FOR: Duration = Duration::from_millis(700);
-/// The process is killed no earlier than the longest deadline after it was asked, which counts as this where it is longer,
-const KILLED_AFTER_MOST: Duration = Duration::from_millis(3000);
-/// and so much more.
-const KILLED_AFTER_MORE: Duration = Duration::from_millis(700);
-/// The end comes so long before that: a turn of a busy loop, and the way of the last answers.
-const SPARE: Duration = Duration::from_millis(100);
-/// Before the end, what is still in hand is answered: time for the answers to go out.
-const ANSWERS_TAKE: Duration = Duration::from_millis(100);
+/// Requests arrive for this long after a restart is requested. By the protocol page, new connections come for 0.4 s
+/// and requests on open ones for 0.2 s more; 0.1 s is added for a request delayed by a slow network.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
+/// The process is killed no earlier than the longest client deadline, capped at this value, after the request
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3000);
+/// plus this margin.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// Shutdown completes this long before the kill: one iteration of a busy loop and the transit of the last answers.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(100);
+/// GETs still in flight are answered this long before shutdown completes, so that the answers can be sent.
+const FINAL_ANSWER_TIME: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
@@ -34,67 +35,73 @@
 #[derive(Debug)]
 pub struct Lifecycle {
     state: State,
-    takes_until: Duration,
+    accepts_until: Duration,
     answers_by: Duration,
     ends_by: Duration,
-    /// What was in hand as the end came near has been given up.
-    gave_up: bool,
+    /// Whether the GETs in flight at the answer deadline have been answered.
+    has_answered_rest: bool,
 }
 
 impl Lifecycle {
     pub fn new() -> Self {
         let never = Duration::MAX;
-        Self { state: State::Serving, takes_until: never, answers_by: never, ends_by: never, gave_up: false }
+        Self {
+            state: State::Serving,
+            accepts_until: never,
+            answers_by: never,
+            ends_by: never,
+            has_answered_rest: false,
+        }
     }
 
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Asked to end, where no client waits longer than `longest`; false if it was asked before.
-    pub fn end(&mut self, now: Duration, longest: Duration) -> bool {
+    /// Starts draining. No client waits longer than `max_client_wait`. Returns false if shutdown was requested before.
+    pub fn begin_shutdown(&mut self, now: Duration, max_client_wait: Duration) -> bool {
         if self.state != State::Serving {
             return false;
         }
         self.state = State::Draining;
-        self.ends_by = now + longest.min(KILLED_AFTER_MOST) + KILLED_AFTER_MORE - SPARE;
-        self.takes_until = self.ends_by.min(now + TAKES_FOR);
-        self.answers_by = self.ends_by - ANSWERS_TAKE;
+        self.ends_by = now + max_client_wait.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN - SHUTDOWN_MARGIN;
+        self.accepts_until = self.ends_by.min(now + ACCEPT_PERIOD);
+        self.answers_by = self.ends_by - FINAL_ANSWER_TIME;
         true
     }
 
-    /// When time alone moves it on, or has what is in hand answered.
-    pub fn due(&self, now: Duration) -> Duration {
-        let moments = [self.takes_until, self.answers_by, self.ends_by];
-        moments.into_iter().filter(|&at| at > now).min().unwrap_or(Duration::MAX)
+    /// The next time at which the state changes, or the GETs in flight must be answered, without any event.
+    pub fn next_deadline(&self, now: Duration) -> Duration {
+        let deadlines = [self.accepts_until, self.answers_by, self.ends_by];
+        deadlines.into_iter().filter(|&at| at > now).min().unwrap_or(Duration::MAX)
     }
 
-    /// Time for a GET that is taken now, where it is bounded.
+    /// Time available to a GET that is taken now; unlimited while serving.
     pub fn time_left(&self, now: Duration) -> Duration {
         if self.state == State::Serving { Duration::MAX } else { self.answers_by.saturating_sub(now) }
     }
 
-    /// What is in hand has to be answered now.
+    /// Whether the GETs in flight must be answered now.
     pub fn must_answer(&self, now: Duration) -> bool {
-        now >= self.answers_by && !self.gave_up
+        now >= self.answers_by && !self.has_answered_rest
     }
 
-    /// It was, once and for all: what is taken from then on has no time.
-    pub fn gave_up(&mut self) {
-        self.gave_up = true;
+    /// Records that the GETs in flight were answered. GETs taken after that have no time left.
+    pub fn mark_answered(&mut self) {
+        self.has_answered_rest = true;
     }
 
-    /// Moves on to closing, if it is time: all that has come until then was read.
-    pub fn may_close(&self, now: Duration) -> bool {
-        self.state == State::Draining && now >= self.takes_until
+    /// Whether it is time to move on to closing. The caller first reads all that has arrived until then.
+    pub fn should_close(&self, now: Duration) -> bool {
+        self.state == State::Draining && now >= self.accepts_until
     }
 
     pub fn close(&mut self) {
         self.state = State::Closing;
     }
 
-    /// Ends where nothing is left of it, or its time is up.
-    pub fn turn(&mut self, nothing_left: bool, now: Duration) {
+    /// Ends closing once nothing is left or the deadline is reached.
+    pub fn advance(&mut self, nothing_left: bool, now: Duration) {
         if self.state == State::Closing && (nothing_left || now >= self.ends_by) {
             self.state = State::Done;
         }
--- a/crates/dispatcher/src/routing/mod.rs
+++ b/crates/dispatcher/src/routing/mod.rs
@@ -1,14 +1,15 @@
-//! Brings what was read to the decision module, one round for each turn of the loop, and its decisions back.
+//! Passes received messages to the decision module in rounds, at least one for each event loop iteration with work, and
+//! carries out its decisions.
 
 mod answers;
 mod clients;
 mod codec;
+mod connection_slab;
 mod counters;
 mod forwards;
 mod guards;
 mod hosts;
 mod in_flight;
-mod keyed;
 mod lifecycle;
 mod news;
 mod proxy;
@@ -18,9 +19,9 @@
 
 use bytes::Bytes;
 use codec::Codec;
+pub use connection_slab::ConnectionKey;
 use guards::Effect;
 pub use guards::{Guards, Rule};
-pub use keyed::Key;
 use myrtlegauge::decide::{Round, Router};
 use myrtlegauge::interface::{ListUpdate, PurgeKey, Settings};
 use myrtlegauge_membership::driver::{self, Member};
@@ -31,44 +32,47 @@
 use myrtlegauge_wire::host_registry::HostRegistry;
 use myrtlegauge_wire::protocol::changelog;
 use myrtlegauge_wire::transport::{EventLoopHandle, Listener, ReadinessHandler, ResourceUsage};
-pub use proxy::{Lines, Proxy, Room};
-use replicas::{Change, Replicas};
+pub use proxy::{LogBudget, Proxy, ResourceLimits};
+use replicas::{Change, ReplicaClient};
 pub use replicas::{ReplicaKey, ReplicasStartup};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-pub use zones::{SeenHost, ZoneNews, ZonePort, ZoneReport};
+pub use zones::{HostEvidence, ZoneChannel, ZoneReport, ZoneUpdate};
 
-/// What the loop tells to be ready.
+/// A source of readiness events on the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum EventSource {
     Listener,
-    Client(Key),
-    Link(Key),
-    Feed,
+    Client(ConnectionKey),
+    Link(ConnectionKey),
+    /// The poll of the change log.
+    ChangeLog,
     /// The poll of a replica of the change log.
     Replica(ReplicaKey),
 }
 
-/// What is known at the start.
+/// Configuration and state that a dispatcher starts with.
 pub struct Startup<'a> {
     pub listen: SocketAddr,
-    pub changelog: SocketAddr,
-    pub known: changelog::Changes<'a>,
-    pub facts: &'a Settings,
+    pub change_log: SocketAddr,
+    /// The changes known at the start; the change log is polled for those after them.
+    pub known_changes: changelog::Changes<'a>,
+    pub settings: &'a Settings,
     pub seed: u64,
-    pub room: Room,
-    /// All but in tests.
+    pub resource_limits: ResourceLimits,
+    /// All are enabled, except in tests and proof runs.
     pub guards: Guards,
-    /// The services to follow on zones; none in `run`.
-    pub zones: Option<ZonePort>,
-    /// This dispatcher as a member of its fleet; none in `run`.
+    /// The control services to follow for zone verdicts; `None` in `run`.
+    pub zones: Option<ZoneChannel>,
+    /// This dispatcher as a member of its fleet; `None` in `run`.
     pub member: Option<driver::Startup>,
-    /// The replicas that are polled in place of the change log; none in `run`.
+    /// The replicas that are polled in place of the change log; `None` in `run`.
     pub replicas: Option<ReplicasStartup>,
 }
 
+/// A dispatcher: the decision module, its sockets and, if configured, its fleet membership.
 pub struct Dispatcher {
     router: Router,
     proxy: Proxy,
@@ -76,173 +80,197 @@
 }
 
 impl ReadinessHandler for Dispatcher {
-    type Key = Who;
+    type Key = EventSource;
 
-    fn on_socket_ready(&mut self, who: Who) {
-        self.proxy.ready.push(who);
+    fn on_socket_ready(&mut self, source: EventSource) {
+        self.proxy.ready.push(source);
     }
 }
 
 impl Dispatcher {
-    pub fn start(hub: EventLoopHandle<Self>, mut startup: Startup<'_>) -> Result<Self, String> {
-        let mut router = Router::new(startup.facts, startup.seed)?;
+    /// Binds the listener and starts a dispatcher on an event loop.
+    ///
+    /// # Errors
+    /// Settings that can't be used, an address that can't be listened on, or replicas or members that can't be used.
+    pub fn start(event_loop: EventLoopHandle<Self>, mut startup: Startup<'_>) -> Result<Self, String> {
+        let mut router = Router::new(startup.settings, startup.seed)?;
         if !startup.guards.starting {
             router.disable_slow_start_limit();
         }
         if !startup.guards.repeating {
             router.disable_repeat_guard();
         }
-        let accounts = Rc::new(ResourceUsage::default());
-        let listener = Listener::bind(&hub, startup.listen, Who::Listener, &accounts)
+        let resource_usage = Rc::new(ResourceUsage::default());
+        let listener = Listener::bind(&event_loop, startup.listen, EventSource::Listener, &resource_usage)
             .map_err(|e| format!("can't listen on {}: {e}", startup.listen))?;
-        let feed = ChangeLogClient::new(startup.changelog, Who::Feed);
-        let names = (
-            Codec::new(startup.facts)?,
-            HostRegistry::new(startup.facts)?,
-            proxy::ConnectionLimits::read(startup.facts),
+        let change_log = ChangeLogClient::new(startup.change_log, EventSource::ChangeLog);
+        let components = (
+            Codec::new(startup.settings)?,
+            HostRegistry::new(startup.settings)?,
+            proxy::ConnectionLimits::read(startup.settings),
         );
-        let port = startup.zones.take();
-        let (news, member_hub) = (hub.clone(), hub.clone());
-        let mut proxy = Proxy::new(hub, listener, accounts, feed, names, startup.room, Clock::start());
-        (proxy.guards, proxy.effects) = (startup.guards, Effect::read_all(startup.facts));
-        if let Some(ZonePort { news: heard, report, every }) = port {
-            let into = news.insert_source(heard, |event, (), dispatcher: &mut Self| {
-                if let calloop::channel::Event::Msg(news) = event {
-                    dispatcher.proxy.zone_heard.push(news);
+        let zone_channel = startup.zones.take();
+        let (zone_event_loop, member_event_loop) = (event_loop.clone(), event_loop.clone());
+        let mut proxy = Proxy::new(
+            event_loop,
+            listener,
+            resource_usage,
+            change_log,
+            components,
+            startup.resource_limits,
+            Clock::start(),
+        );
+        (proxy.guards, proxy.effects) = (startup.guards, Effect::read_all(startup.settings));
+        if let Some(ZoneChannel { updates, report, report_interval }) = zone_channel {
+            let inserted = zone_event_loop.insert_source(updates, |event, (), dispatcher: &mut Self| {
+                if let calloop::channel::Event::Msg(update) = event {
+                    dispatcher.proxy.zone_updates.push(update);
                 }
             });
-            into.map_err(|e| format!("news of zones can't be heard: {e}"))?;
-            let names = proxy.places.zone_names().to_vec();
-            proxy.zones = Some(zones::Zones::new(names, every, report, proxy.now));
-            proxy.zones_due = proxy.now;
+            inserted.map_err(|e| format!("can't receive zone updates on the event loop: {e}"))?;
+            let names = proxy.host_registry.zone_names().to_vec();
+            proxy.zones = Some(zones::Zones::new(names, report_interval, report, proxy.now));
+            proxy.zones_due_at = proxy.now;
         }
         let replicas = startup.replicas.as_ref();
-        let replicas =
-            replicas.map(|told| Replicas::new(told, Who::Replica, proxy.clock.unix_ms(proxy.now), proxy.now));
+        let replicas = replicas.map(|startup| {
+            ReplicaClient::new(startup, EventSource::Replica, proxy.clock.unix_ms(proxy.now), proxy.now)
+        });
         proxy.replicas = replicas.transpose().map_err(|e| e.to_string())?;
         proxy.has_left_replicas = proxy.replicas.is_none();
-        let member = startup.member.as_ref().map(|told| Member::start(&member_hub, told, Self::member_told));
+        let member = startup
+            .member
+            .as_ref()
+            .map(|startup| Member::start(&member_event_loop, startup, Self::on_membership_change));
         let member = member.transpose().map_err(|e| e.to_string())?;
-        let mut started = Self { router, proxy, member };
-        let now = started.proxy.now;
-        started.router.round(now, &mut started.proxy, |round| {
-            let last = startup.known.last_seq;
-            let known = round.sink().list_known;
-            round.on_list_known(known);
-            tell_changes(round, startup.known, ListUpdate::Persisted);
-            // A start is told all there was; what it leaves out is of no use any more.
-            round.sink().told_up_to(last);
+        let mut dispatcher = Self { router, proxy, member };
+        let now = dispatcher.proxy.now;
+        dispatcher.router.round(now, &mut dispatcher.proxy, |round| {
+            let last_seq = startup.known_changes.last_seq;
+            let list_known = round.sink().list_known;
+            round.on_list_known(list_known);
+            apply_changes(round, startup.known_changes, ListUpdate::Persisted);
+            // The known changes are complete up to their last number; those left out are obsolete.
+            round.sink().skip_changes_up_to(last_seq);
         });
-        Ok(started)
+        Ok(dispatcher)
     }
 
-    /// What changed among the members: logged, and what it comes to for the sources is told to the module.
-    fn member_told(&mut self, told: driver::Told<'_>) {
-        let (view, sharers) = (told.view, told.sharers);
+    /// Logs a membership change and passes on the new number of routers that share the sources.
+    fn on_membership_change(&mut self, membership: driver::Told<'_>) {
+        let (view, sharers) = (membership.view, membership.sharers);
         let (epoch, here, doubted, gone, known) =
             (view.epoch, view.here, view.doubted, view.gone, view.known);
-        let (reach, change) = (view.reach, told.change);
+        let (reach, change) = (view.reach, membership.change);
         log::info!(epoch, here, doubted, gone, known, reach:?, sharers, change:?; "members");
-        self.proxy.sharers = Some(sharers);
+        self.proxy.new_router_count = Some(sharers);
     }
 
+    /// The listener's address.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
-        let closed = || std::io::Error::from(std::io::ErrorKind::NotConnected);
-        self.proxy.listener.as_ref().ok_or_else(closed)?.address()
+        let not_connected = || std::io::Error::from(std::io::ErrorKind::NotConnected);
+        self.proxy.listener.as_ref().ok_or_else(not_connected)?.address()
     }
 
-    /// How long the loop may sleep.
-    pub fn patience(&self) -> Duration {
-        self.proxy.next_due().saturating_sub(self.proxy.clock.now())
+    /// How long the event loop may wait for events.
+    pub fn poll_timeout(&self) -> Duration {
+        self.proxy.next_deadline().saturating_sub(self.proxy.clock.now())
     }
 
-    /// All that one turn of the loop brought, as one round; and another at once where one ended forwards here.
-    pub fn turn(&mut self) {
+    /// Processes all that one event loop iteration brought as one round, and runs another round at once if one ended
+    /// forwards locally.
+    pub fn process_events(&mut self) {
         let Self { router, proxy, .. } = self;
-        proxy.read();
-        proxy.hear_zones();
-        proxy.end_in_steps();
+        proxy.read_ready();
+        proxy.apply_zone_updates();
+        proxy.advance_shutdown();
         proxy.leave_replicas();
         loop {
-            // Who has left is known before what was decided meanwhile goes out.
+            // Disconnects are known before forwards that were decided meanwhile are sent.
             proxy.parse_clients();
-            if !proxy.has_news() {
+            if !proxy.has_work() {
                 break;
             }
-            let began = Instant::now();
+            let round_start = Instant::now();
             let now = proxy.now;
             router.round(now, proxy, |round| {
                 while let Some(body) = round.sink().next_changes() {
-                    tell_polled(round, &body);
+                    apply_poll_answer(round, &body);
                 }
                 while let Some(change) = round.sink().next_replicated() {
-                    tell_replicated(round, &change);
+                    apply_replicated(round, &change);
                 }
-                round.sink().look_for_doubt();
-                let doubted = round.sink().doubted;
-                round.set_purges_unknown_since(doubted);
+                round.sink().update_purge_uncertainty();
+                let purges_unknown_since = round.sink().purges_unknown_since;
+                round.set_purges_unknown_since(purges_unknown_since);
                 let list_known = round.sink().list_known;
                 round.on_list_known(list_known);
-                if let Some(sharers) = round.sink().sharers.take() {
-                    round.set_router_count(sharers as f64);
+                if let Some(router_count) = round.sink().new_router_count.take() {
+                    round.set_router_count(router_count as f64);
                 }
-                let moved = round.sink().zones_moved();
-                if !moved.is_empty() {
-                    round.on_host_list(ListUpdate::Changes, &moved);
+                let changed_entries = round.sink().take_changed_zone_entries();
+                if !changed_entries.is_empty() {
+                    round.on_host_list(ListUpdate::Changes, &changed_entries);
                 }
-                // What ends interest comes before what spends: a forward that failed is not tried again for who has left.
-                while let Some(place) = round.sink().next_abandoned() {
-                    round.on_abandoned(place);
+                // Abandoned GETs come before outcomes, so that a failed forward is not retried for a client that has
+                // left.
+                while let Some(get_index) = round.sink().next_abandoned() {
+                    round.on_abandoned(get_index);
                 }
-                tell_processes(round);
-                while let Some(host) = round.sink().came_up.pop() {
+                apply_process_events(round);
+                while let Some(host) = round.sink().late_connected_hosts.pop() {
                     round.on_host_report(host, true);
                 }
-                while let Some((place, outcome)) = round.sink().next_answered() {
-                    tell_processes(round);
-                    round.on_outcome(place, &outcome);
+                while let Some((get_index, outcome)) = round.sink().next_reply_outcome() {
+                    apply_process_events(round);
+                    round.on_outcome(get_index, &outcome);
                 }
-                tell_processes(round);
-                while let Some((place, outcome)) = round.sink().next_ended() {
-                    round.on_outcome(place, &outcome);
+                apply_process_events(round);
+                while let Some((get_index, outcome)) = round.sink().next_ended_outcome() {
+                    round.on_outcome(get_index, &outcome);
                 }
                 if round.sink().must_answer() {
-                    round.sink().lifecycle.gave_up();
-                    for place in round.sink().in_flight.places() {
-                        round.answer_now(place);
+                    round.sink().lifecycle.mark_answered();
+                    for get_index in round.sink().in_flight.unanswered() {
+                        round.answer_now(get_index);
                     }
                 }
-                let mut place = round.next_get_index();
-                while let Some(get) = round.sink().next_get(place) {
+                let mut get_index = round.next_get_index();
+                while let Some(get) = round.sink().next_get(get_index) {
                     round.on_get(get);
-                    place = round.next_get_index();
+                    get_index = round.next_get_index();
                 }
-                if round.sink().wakes() {
+                if round.sink().take_wakeup() {
                     round.on_wakeup();
                 }
             });
-            proxy.write();
+            proxy.flush_connections();
             let violations = router.slow_start_violations();
             let counters = &mut proxy.counters;
-            counters.violations_were(Rule::Starting, violations);
+            counters.set_violations(Rule::Starting, violations);
             counters.rounds += 1;
-            counters.round_longest_us = counters.round_longest_us.max(began.elapsed().as_micros() as u64);
+            counters.longest_round_us =
+                counters.longest_round_us.max(round_start.elapsed().as_micros() as u64);
             proxy.now = proxy.clock.now();
         }
-        proxy.write();
-        proxy.tell_origin();
-        proxy.look_at_return();
-        if proxy.tidy() {
-            // What the module believes to be out at a host is what stands on its connections.
+        proxy.flush_connections();
+        proxy.log_origin_use();
+        proxy.check_full_service();
+        if proxy.sweep() {
+            // The decision module's count of a host's forwards must match the forwards on its connections.
             for host in 0..proxy.hosts.len() {
-                let holds = router.in_flight_at(host) == proxy.out_at(host) as f64;
-                proxy.counters.must(holds, "forwards out at a host are those on its connections");
+                let is_consistent = router.in_flight_at(host) == proxy.forwards_at(host) as f64;
+                proxy.counters.check_invariant(
+                    is_consistent,
+                    "forwards in flight at a host are those on its connections",
+                );
             }
         }
-        proxy.count_holds();
+        proxy.check_get_balance();
     }
 
-    /// Ends in steps: takes what still comes for the time that a restart allows, then closes what is quiet.
+    /// Starts the graceful shutdown: requests are accepted for as long as a restart allows, then idle connections are
+    /// closed.
     pub fn stop(&mut self) {
         self.proxy.stop();
         if let Some(member) = self.member.clone() {
@@ -250,77 +278,81 @@
         }
     }
 
-    /// Follows the change log at another address, where a later configuration could be used.
-    pub fn follow(&mut self, changelog: Option<SocketAddr>) {
-        self.proxy.counters.reread += u64::from(changelog.is_some());
-        self.proxy.counters.reread_failed += u64::from(changelog.is_none());
+    /// Polls the change log at another address from now on. `None` counts a reloaded configuration that can't be used.
+    pub fn set_change_log_address(&mut self, address: Option<SocketAddr>) {
+        self.proxy.counters.config_reloads += u64::from(address.is_some());
+        self.proxy.counters.config_reloads_failed += u64::from(address.is_none());
         if self.proxy.replicas.is_some() {
-            log::warn!("replicas are polled: where they are can't change while running");
-        } else if let Some(changelog) = changelog {
-            self.proxy.feed.set_address(changelog, self.proxy.now);
+            log::warn!("replicas are polled, and their addresses can't change while running; keeping them");
+        } else if let Some(address) = address {
+            self.proxy.change_log.set_address(address, self.proxy.now);
         }
     }
 
+    /// Whether the shutdown is complete.
     pub fn is_done(&self) -> bool {
         self.proxy.is_done() && self.proxy.has_left_replicas
     }
 
     /// GETs taken so far.
-    pub fn taken(&self) -> u64 {
+    pub fn gets_taken(&self) -> u64 {
         self.proxy.counters.taken
     }
 
-    /// What was done against a rule so far: zero, unless a guard is missing.
+    /// Violations of a rule so far; zero unless a guard is missing.
     pub fn violations(&self, rule: Rule) -> u64 {
         self.proxy.counters.violations[rule as usize]
     }
 
     /// Bytes in all buffers.
-    pub fn buffered(&self) -> usize {
-        self.proxy.accounts.buffered_bytes.current()
+    pub fn buffered_bytes(&self) -> usize {
+        self.proxy.resource_usage.buffered_bytes.current()
     }
 
-    /// The most bytes that have been in all buffers at once.
-    pub fn buffered_peak(&self) -> usize {
-        self.proxy.accounts.buffered_bytes.peak()
+    /// The maximum number of bytes in all buffers at one time.
+    pub fn peak_buffered_bytes(&self) -> usize {
+        self.proxy.resource_usage.buffered_bytes.peak()
     }
 
-    /// Connections of clients, those that are being closed left out.
-    pub fn clients(&self) -> usize {
+    /// Number of client connections, not counting those in a lingering close.
+    pub fn client_connections(&self) -> usize {
         self.proxy.clients.len()
     }
 
-    /// Places of hosts, those that can be taken by a new one included.
-    pub fn hosts(&self) -> usize {
+    /// Number of host slots, including free ones.
+    pub fn host_slots(&self) -> usize {
         self.proxy.hosts.len()
     }
 
+    /// Logs the report of counters.
     pub fn report(&self) {
         self.proxy.report();
         if let Some(member) = &self.member {
             log::info!("{}", member.line());
         }
         if let Some(replicas) = &self.proxy.replicas {
-            log::info!("{}", replicas.line());
+            log::info!("{}", replicas.summary());
         }
     }
 }
 
-fn tell_polled(round: &mut Round<'_, Proxy>, body: &Bytes) {
-    let before = round.sink().last_change();
+fn apply_poll_answer(round: &mut Round<'_, Proxy>, body: &Bytes) {
+    let seq_before = round.sink().last_change_seq();
     match serde_json::from_slice(body) {
         Ok(changes) => {
-            tell_changes(round, changes, ListUpdate::Full);
-            round.sink().polled(before);
+            apply_changes(round, changes, ListUpdate::Full);
+            round.sink().on_poll_answered(seq_before);
         }
-        Err(e) => round.sink().unread(format_args!("an answer of the change log can't be read: {e}")),
+        Err(e) => round.sink().on_unreadable_answer(format_args!(
+            "unreadable answer of the change log, reconnecting to poll again: {e}"
+        )),
     }
 }
 
-/// What connections tell of hosts' processes, before anything is decided by it. An end and a connection that came up after it
-/// are told in this order: what is up in a turn was dialled before that turn.
-fn tell_processes(round: &mut Round<'_, Proxy>) {
-    while let Some((host, at, evidence)) = round.sink().processes_ended.pop() {
+/// Reports ended host processes and established connections, before any decision based on them. Ends are reported
+/// before connections: a connection established in an iteration was dialled before that iteration.
+fn apply_process_events(round: &mut Round<'_, Proxy>) {
+    while let Some((host, at, evidence)) = round.sink().ended_processes.pop() {
         round.on_process_ended(host, at, evidence);
     }
     while let Some(host) = round.sink().connected.pop() {
@@ -328,62 +360,66 @@
     }
 }
 
-/// Each numbered event once, in order; `whole` is what a whole list counts as.
-fn tell_changes(round: &mut Round<'_, Proxy>, changes: changelog::Changes<'_>, whole: ListUpdate) {
+/// Applies each numbered change once, in order. `full_list_as` is the kind of update that a full host list counts as.
+fn apply_changes(round: &mut Round<'_, Proxy>, changes: changelog::Changes<'_>, full_list_as: ListUpdate) {
     let now = round.sink().now;
-    changes.remote_timestamps_ms().for_each(|stamp| round.sink().clock.record_remote_timestamp(stamp, now));
+    changes
+        .remote_timestamps_ms()
+        .for_each(|timestamp_ms| round.sink().clock.record_remote_timestamp(timestamp_ms, now));
     let offset = round.sink().clock.unix_offset();
     round.on_unix_offset(offset);
     for change in &changes.results {
-        match round.sink().is_next(change.seq) {
+        match round.sink().accept_change(change.seq) {
             Some(true) => {}
             Some(false) => continue,
             None => return,
         }
         if let Some(fleet) = &change.fleet {
-            let entries = round.sink().listed(&fleet.endpoints, fleet.snapshot);
-            round.on_host_list(if fleet.snapshot { whole } else { ListUpdate::Changes }, &entries);
+            let entries = round.sink().update_hosts(&fleet.endpoints, fleet.snapshot);
+            round.on_host_list(if fleet.snapshot { full_list_as } else { ListUpdate::Changes }, &entries);
         }
         if let Some(purge) = &change.invalidate {
-            let object = purge.object.as_deref().and_then(|id| codec::hex(id.as_bytes()));
-            tell_purge(round, object.map(PurgeKey::Object).or(purge.bucket.map(PurgeKey::Group)));
+            let object = purge.object.as_deref().and_then(|id| codec::parse_hex(id.as_bytes()));
+            apply_purge(round, object.map(PurgeKey::Object).or(purge.bucket.map(PurgeKey::Group)));
         }
     }
 }
 
-fn tell_purge(round: &mut Round<'_, Proxy>, named: Option<PurgeKey>) {
-    if let Some(named) = round.sink().purged(named) {
-        round.on_purge(named, Duration::ZERO);
+fn apply_purge(round: &mut Round<'_, Proxy>, key: Option<PurgeKey>) {
+    if let Some(key) = round.sink().on_purge_received(key) {
+        round.on_purge(key, Duration::ZERO);
     }
 }
 
-/// What a replica told; records that are not for dispatchers change nothing.
-fn tell_replicated(round: &mut Round<'_, Proxy>, change: &Change) {
+/// Applies a replicated change. Records that do not concern dispatchers change nothing.
+fn apply_replicated(round: &mut Round<'_, Proxy>, change: &Change) {
     match change {
-        Change::HostLines(lines) => tell_host_lines(round, lines),
-        Change::Purge(purge) => tell_purge_record(round, purge),
+        Change::HostLines(lines) => apply_host_lines(round, lines),
+        Change::Purge(purge) => apply_purge_record(round, purge),
         Change::Other => round.sink().counters.changes += 1,
     }
 }
 
-fn tell_host_lines(round: &mut Round<'_, Proxy>, lines: &[HostLine]) {
+fn apply_host_lines(round: &mut Round<'_, Proxy>, lines: &[HostLine]) {
     round.sink().counters.changes += lines.len() as u64;
     let mut endpoints = Vec::with_capacity(lines.len());
     for line in lines {
         match changelog::Endpoint::deserialize(&line.endpoint) {
             Ok(endpoint) => endpoints.push(endpoint),
-            Err(e) => round.sink().fault(format_args!("the line of host {} can't be read: {e}", line.name)),
+            Err(e) => round
+                .sink()
+                .report_fault(format_args!("unreadable list line of host {}, ignoring it: {e}", line.name)),
         }
     }
-    let entries = round.sink().listed(&endpoints, false);
+    let entries = round.sink().update_hosts(&endpoints, false);
     round.on_host_list(ListUpdate::Changes, &entries);
 }
 
-fn tell_purge_record(round: &mut Round<'_, Proxy>, Purge { target, .. }: &Purge) {
+fn apply_purge_record(round: &mut Round<'_, Proxy>, Purge { target, .. }: &Purge) {
     round.sink().counters.changes += 1;
-    let named = match target {
-        PurgeTarget::Object(object) => codec::hex(object.as_bytes()).map(PurgeKey::Object),
+    let key = match target {
+        PurgeTarget::Object(object) => codec::parse_hex(object.as_bytes()).map(PurgeKey::Object),
         PurgeTarget::Group(group) => Some(PurgeKey::Group(*group)),
     };
-    tell_purge(round, named);
+    apply_purge(round, key);
 }
--- a/crates/dispatcher/src/routing/news.rs
+++ b/crates/dispatcher/src/routing/news.rs
@@ -1,9 +1,10 @@
-//! The change log's news, as the module takes it: each event once, in order.
+//! Updates of the host list and purges, from the change log or the replicas, applied once each and in order. Also
+//! detects pauses of the process, after which these may have been missed.
 
 use super::hosts::Host;
-use super::in_flight::{Out, Pending};
+use super::in_flight::{InFlightForward, PendingGet};
 use super::proxy::Proxy;
-use super::replicas::{Change, Doubt};
+use super::replicas::{Change, PurgeUncertainty};
 use bytes::Bytes;
 use myrtlegauge::host_life::{EndEvidence, is_to_new_process};
 use myrtlegauge::interface::{End, HostEntry, HostIndex, HostStatus, PurgeKey};
@@ -14,311 +15,332 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A gap between two turns of the loop, which wakes many times a second, that tells that the process did not run. Under
-/// any grace on purges.
-const FROZEN: Duration = Duration::from_millis(750);
-/// After the longest wait of any client, for what still ends then.
-const LET_GO: Duration = Duration::from_millis(1000);
+/// The shortest gap between two event loop iterations that counts as a pause of the process. The loop wakes up many
+/// times a second. The value is below any grace on purges.
+const MIN_PAUSE: Duration = Duration::from_millis(750);
+/// A removed host's slot is released this long after the longest client wait, for forwards that end at that time.
+const RELEASE_MARGIN: Duration = Duration::from_millis(1000);
 
 impl Proxy {
-    /// Polls the change log, or the replicas where they are polled in its place.
+    /// Polls the change log, or the replicas if they are polled in its place.
     pub fn poll(&mut self) {
-        let Self { replicas, hub, accounts, now, .. } = self;
+        let Self { replicas, event_loop, resource_usage, now, .. } = self;
         let Some(replicas) = replicas else {
-            let is_lost = self.feed.poll_if_due(&self.hub, &self.accounts, self.now);
-            self.counters.polls_failed += u64::from(is_lost);
+            let has_failed = self.change_log.poll_if_due(&self.event_loop, &self.resource_usage, self.now);
+            self.counters.polls_failed += u64::from(has_failed);
             return;
         };
-        let lost: Vec<_> = std::iter::from_fn(|| replicas.hear(*now)).filter_map(Result::err).collect();
-        replicas.ask(hub, accounts, *now);
-        for poll in lost {
+        let errors: Vec<_> =
+            std::iter::from_fn(|| replicas.next_result(*now)).filter_map(Result::err).collect();
+        replicas.send_polls(event_loop, resource_usage, *now);
+        for error in errors {
             self.counters.polls_failed += 1;
-            self.fault(format_args!("replica {poll}"));
+            self.report_fault(format_args!("poll of replica failed, retrying: {error}"));
         }
     }
 
-    /// When the next poll is to be asked or given up.
-    pub fn news_due(&self) -> Duration {
-        self.replicas.as_ref().map_or(self.feed.deadline, |replicas| replicas.due(self.now))
+    /// When the next poll is due, or the current one times out.
+    pub fn poll_deadline(&self) -> Duration {
+        self.replicas.as_ref().map_or(self.change_log.deadline, |replicas| replicas.deadline(self.now))
     }
 
-    /// What a replica told that is to be applied next.
+    /// The next change from the replicas to apply.
     pub fn next_replicated(&mut self) -> Option<Change> {
         self.replicas.as_mut()?.next_change()
     }
 
-    /// Whether copies are in doubt, where replicas are polled; what was decided before a doubt and not sent is decided
-    /// again.
-    pub fn look_for_doubt(&mut self) {
+    /// If replicas are polled, updates whether purges may have been missed. When that begins, forwards that were
+    /// decided before and not sent are decided again.
+    pub fn update_purge_uncertainty(&mut self) {
         let Some(replicas) = &mut self.replicas else { return };
-        let doubt = replicas.in_doubt(self.now);
+        let uncertainty = replicas.update_uncertainty(self.now);
         self.list_known = self.list_known.max(replicas.list_known());
-        self.doubted = matches!(doubt, Doubt::Begins | Doubt::Lasts).then_some(self.now);
-        match doubt {
-            Doubt::Begins => {
-                self.counters.gaps += 1;
-                log::warn!("replication: no replica has answered in time: copies are doubted until one does");
-                self.decide_anew(|_, _| true);
+        self.purges_unknown_since =
+            matches!(uncertainty, PurgeUncertainty::Began | PurgeUncertainty::Ongoing).then_some(self.now);
+        match uncertainty {
+            PurgeUncertainty::Began => {
+                self.counters.pauses += 1;
+                log::warn!(
+                    "replication: no replica has answered in time; not accepting cached copies until one does"
+                );
+                self.cancel_unsent_forwards(|_, _| true);
             }
-            Doubt::Ends => {
-                log::info!("replication: attached, copies are doubted no more");
+            PurgeUncertainty::Ended => {
+                log::info!("replication: attached; accepting cached copies again");
                 if self.startup.log_synced(self.now) {
-                    self.tell_return("whole");
+                    self.log_startup_step("whole");
                 }
             }
-            Doubt::Lasts | Doubt::None => {}
+            PurgeUncertainty::Ongoing | PurgeUncertainty::None => {}
         }
     }
 
-    /// At the end, tells the replica that this dispatcher leaves.
+    /// After the shutdown, notifies the replica that this dispatcher leaves.
     pub fn leave_replicas(&mut self) {
         let is_done = self.is_done();
-        let Self { replicas, hub, accounts, now, has_left_replicas, .. } = self;
+        let Self { replicas, event_loop, resource_usage, now, has_left_replicas, .. } = self;
         let Some(replicas) = replicas else { return };
-        *has_left_replicas = is_done && replicas.leave(hub, accounts, *now);
+        *has_left_replicas = is_done && replicas.leave(event_loop, resource_usage, *now);
     }
 
+    /// The next answer of the change log, if one was received.
     pub fn next_changes(&mut self) -> Option<Bytes> {
-        if !std::mem::take(&mut self.feed_heard) {
+        if !std::mem::take(&mut self.has_change_log_data) {
             return None;
         }
-        match self.feed.next_answer(self.now) {
+        match self.change_log.next_answer(self.now) {
             Ok(body) => {
-                self.feed_heard = body.is_some();
+                self.has_change_log_data = body.is_some();
                 body
             }
-            Err(StreamError(what)) => {
-                self.unread(format_args!("{what}"));
+            Err(StreamError(error)) => {
+                self.on_unreadable_answer(format_args!(
+                    "invalid data from the change log, reconnecting to poll again: {error}"
+                ));
                 None
             }
         }
     }
 
-    pub fn last_change(&self) -> u64 {
-        self.feed.last_seq
+    pub fn last_change_seq(&self) -> u64 {
+        self.change_log.last_seq
     }
 
-    /// An answer that could not be read is asked for again on a new connection.
-    pub fn unread(&mut self, what: Arguments<'_>) {
+    /// Reports an unreadable answer of the change log, which is polled again on a new connection.
+    pub fn on_unreadable_answer(&mut self, fault: Arguments<'_>) {
         self.counters.polls_failed += 1;
-        self.fault(what);
-        self.feed.disconnect(self.now);
+        self.report_fault(fault);
+        self.change_log.disconnect(self.now);
     }
 
-    /// An answer was taken; `before` was the last event until then.
-    pub fn polled(&mut self, before: u64) {
-        self.list_known = self.feed.polled_at();
-        if self.doubted.is_none_or(|woke| self.feed.polled_at() >= woke) {
-            self.doubted = None;
+    /// Handles an applied answer; `seq_before` is the last sequence number before it.
+    pub fn on_poll_answered(&mut self, seq_before: u64) {
+        self.list_known = self.change_log.polled_at();
+        if self.purges_unknown_since.is_none_or(|resumed_at| self.change_log.polled_at() >= resumed_at) {
+            self.purges_unknown_since = None;
             if self.startup.log_synced(self.now) {
-                self.tell_return("whole");
+                self.log_startup_step("whole");
             }
         }
-        if self.feed.last_seq == before {
-            self.feed.on_empty_answer(self.now);
+        if self.change_log.last_seq == seq_before {
+            self.change_log.on_empty_answer(self.now);
         }
     }
 
-    /// After a time in which nothing ran here, since `before`, a machine asleep or a process frozen, what is believed is old: purges and
-    /// the list are doubted until the change log has answered what is asked from now on, at once.
+    /// Detects that the process did not run since `last_active`, because the machine was asleep or the process
+    /// frozen. Purges and list updates may have been missed, so both count as unknown until the change log has
+    /// answered a poll that is sent now.
     ///
-    /// Guards against copies from before a purge that was told meanwhile. It hurts by fills for what is asked until then.
-    pub fn look_for_gap(&mut self, before: Duration) {
+    /// This prevents serving copies older than a purge that was published during the pause. The cost is fills for the
+    /// requests that arrive until the answer.
+    pub fn detect_pause(&mut self, last_active: Duration) {
         let now = self.now;
-        if now >= before + FROZEN {
-            let gap_ms = (now - before).as_millis() as u64;
-            log::warn!(gap_ms; "nothing ran here for a while: copies are doubted until the change log has answered");
+        if now >= last_active + MIN_PAUSE {
+            let gap_ms = (now - last_active).as_millis() as u64;
+            log::warn!(gap_ms;
+                "process was paused; not accepting older cached copies until the change log has answered");
             if self.replicas.is_none() {
-                self.doubted = Some(now);
-                self.feed.poll_immediately(now);
+                self.purges_unknown_since = Some(now);
+                self.change_log.poll_immediately(now);
             }
-            self.doubt_processes(before);
-            self.counters.gaps += 1;
+            self.mark_processes_unobserved(last_active);
+            self.counters.pauses += 1;
             if let Some(zones) = &mut self.zones {
-                zones.woke(now);
-                self.zones_due = now;
+                zones.on_resumed(now);
+                self.zones_due_at = now;
             }
         }
     }
 
-    /// Whatever ended since `before` was not seen to: a host without a connection may have another process by now.
-    fn doubt_processes(&mut self, before: Duration) {
+    /// Process ends since `last_active` were not observed: a host without a connection may have a new process.
+    fn mark_processes_unobserved(&mut self, last_active: Duration) {
         for index in 0..self.hosts.len() {
             if !self.hosts[index].name.is_empty() && !self.has_live_link(index) {
-                self.process_ended(index, before, EndEvidence::Unobserved);
+                self.record_process_end(index, last_active, EndEvidence::Unobserved);
             }
         }
     }
 
-    /// Whether a connection to a host is up, so that its process is the one that it was.
+    /// Whether a connection to a host is established, which shows that its process has not changed.
     fn has_live_link(&self, host: HostIndex) -> bool {
-        self.hosts[host].links.iter().any(|&key| self.links[key].up && !self.links[key].ended)
+        self.hosts[host].links.iter().any(|&key| self.links[key].is_up && !self.links[key].has_ended)
     }
 
-    /// A connection has ended at its other end, or a dial was refused. Where no other is up, the process may be gone.
-    pub fn lost_link(&mut self, host: HostIndex, evidence: EndEvidence) {
-        let is_unseen = evidence == EndEvidence::ConnectionsEnded && self.doubted.is_some();
-        let evidence = if is_unseen { EndEvidence::Unobserved } else { evidence };
+    /// Handles a connection ended by the host, or a refused connection attempt. If no other connection is
+    /// established, the host's process may have ended.
+    pub fn on_link_lost(&mut self, host: HostIndex, evidence: EndEvidence) {
+        let is_unobserved = evidence == EndEvidence::ConnectionsEnded && self.purges_unknown_since.is_some();
+        let evidence = if is_unobserved { EndEvidence::Unobserved } else { evidence };
         if !self.has_live_link(host) {
-            self.process_ended(host, self.now, evidence);
+            self.record_process_end(host, self.now, evidence);
         }
     }
 
-    fn process_ended(&mut self, host: HostIndex, at: Duration, evidence: EndEvidence) {
+    fn record_process_end(&mut self, host: HostIndex, at: Duration, evidence: EndEvidence) {
         self.hosts[host].process_ended_at = Some(at);
-        self.processes_ended.push((host, at, evidence));
+        self.ended_processes.push((host, at, evidence));
     }
 
-    /// Whether an event has not been taken yet; none if others should have come before it.
-    pub fn is_next(&mut self, number: u64) -> Option<bool> {
-        let step = self.feed.accept(number, self.now);
-        if let SequenceCheck::GapRetried(last) | SequenceCheck::GapAccepted(last) = step {
-            self.fault(format_args!("the change log went from {last} to {number}"));
+    /// Whether a change is new. Returns `None` if changes before it are missing and are polled again.
+    pub fn accept_change(&mut self, seq: u64) -> Option<bool> {
+        let step = self.change_log.accept(seq, self.now);
+        if let SequenceCheck::GapRetried(last_seq) | SequenceCheck::GapAccepted(last_seq) = step {
+            self.report_fault(format_args!("sequence gap in the change log, from {last_seq} to {seq}"));
         }
-        let taken = match step {
+        let is_new = match step {
             SequenceCheck::Duplicate => Some(false),
             SequenceCheck::GapRetried(_) => None,
             SequenceCheck::Next | SequenceCheck::GapAccepted(_) => Some(true),
         };
-        self.counters.changes += u64::from(taken == Some(true));
-        taken
+        self.counters.changes += u64::from(is_new == Some(true));
+        is_new
     }
 
-    pub fn told_up_to(&mut self, last: u64) {
-        self.feed.last_seq = self.feed.last_seq.max(last);
+    pub fn skip_changes_up_to(&mut self, last_seq: u64) {
+        self.change_log.last_seq = self.change_log.last_seq.max(last_seq);
     }
 
-    /// What a purge names. It counts from now on, when it is heard of: its time is another machine's claim, and late is safe.
-    pub fn purged(&mut self, named: Option<PurgeKey>) -> Option<PurgeKey> {
-        if named.is_none() {
-            self.fault(format_args!("a purge names neither an object nor a group"));
+    /// Handles a received purge and returns what it names. A purge takes effect when it is received: its timestamp
+    /// comes from another machine's clock, and a later time is safe.
+    pub fn on_purge_received(&mut self, key: Option<PurgeKey>) -> Option<PurgeKey> {
+        if key.is_none() {
+            self.report_fault(format_args!("a purge names neither an object nor a group, ignoring it"));
         }
         self.counters.purges += 1;
-        let named = named?;
-        self.decide_anew(|pending, _| match named {
+        let key = key?;
+        self.cancel_unsent_forwards(|pending, _| match key {
             PurgeKey::Object(object) => pending.get.object == object,
             PurgeKey::Group(group) => pending.get.group == group,
         });
-        Some(named)
+        Some(key)
     }
 
-    /// The list's lines as entries; a host that started anew gets new connections. Whom a whole list leaves out is
-    /// gone.
-    pub fn listed(&mut self, lines: &[Endpoint<'_>], whole: bool) -> Vec<HostEntry> {
+    /// Applies lines of the host list and returns their entries. A restarted host gets new connections. Hosts missing
+    /// from a full list are removed.
+    pub fn update_hosts(&mut self, lines: &[Endpoint<'_>], is_full_list: bool) -> Vec<HostEntry> {
         let mut entries = Vec::with_capacity(lines.len());
-        for index in 0..if whole { self.hosts.len() } else { 0 } {
+        for index in 0..if is_full_list { self.hosts.len() } else { 0 } {
             if !lines.iter().any(|line| line.name.as_bytes() == self.hosts[index].name) {
                 let Host { entry, address, .. } = self.hosts[index];
-                self.stands(index, HostEntry { status: HostStatus::Removed, ..entry }, address);
+                self.update_host(index, HostEntry { status: HostStatus::Removed, ..entry }, address);
             }
         }
         for line in lines {
-            let (index, new) = self.places.register(&line.name);
-            if new {
+            let (index, is_new_host) = self.host_registry.register(&line.name);
+            if is_new_host {
                 let host = Host {
                     name: Bytes::copy_from_slice(line.name.as_bytes()),
                     entry: HostEntry { host: index, weight: 1.0, ..HostEntry::default() },
                     address: None,
-                    gone_at: None,
+                    removed_at: None,
                     process_ended_at: None,
                     links: Vec::new(),
                 };
                 match self.hosts.get_mut(index) {
-                    Some(place) => *place = host,
+                    Some(slot) => *slot = host,
                     None => self.hosts.push(host),
                 }
             }
             let Host { entry: known, address, .. } = &self.hosts[index];
-            let (entry, fault) = self.places.resolve_entry(known, line, &self.clock, self.now);
+            let (entry, fault) = self.host_registry.resolve_entry(known, line, &self.clock, self.now);
             let address = line.address.parse().ok().or(*address);
-            if let Some(what) = fault {
-                self.fault(format_args!("host {} has {what}: taken as gone", line.name));
+            if let Some(fault) = fault {
+                self.report_fault(format_args!("host {} has {fault}; treating it as removed", line.name));
             }
-            self.stands(index, entry, address);
-            entries.push(self.zones.as_ref().map_or(entry, |zones| zones.told(entry)));
+            self.update_host(index, entry, address);
+            entries.push(self.zones.as_ref().map_or(entry, |zones| zones.adjust_entry(entry)));
         }
-        self.listed |= !entries.is_empty();
-        if self.listed && self.startup.hosts_known(self.now) {
-            self.tell_return("ready");
+        self.has_host_list |= !entries.is_empty();
+        if self.has_host_list && self.startup.hosts_known(self.now) {
+            self.log_startup_step("ready");
         }
         entries
     }
 
-    /// Takes a host's entry and address as they are told now, with all that follows for its connections.
-    fn stands(&mut self, index: HostIndex, entry: HostEntry, address: Option<SocketAddr>) {
-        let gone = entry.status == HostStatus::Removed;
+    /// Applies a host's current entry and address, and closes or retires its connections accordingly.
+    fn update_host(&mut self, index: HostIndex, entry: HostEntry, address: Option<SocketAddr>) {
+        let is_removed = entry.status == HostStatus::Removed;
         let host = &mut self.hosts[index];
-        let has_started = has_another_start(&host.entry, &entry);
-        (host.entry, host.gone_at) = (entry, host.gone_at.or(Some(self.now)).filter(|_| gone));
-        self.new_life(index, address, has_started);
+        let has_restarted = has_new_start(&host.entry, &entry);
+        (host.entry, host.removed_at) = (entry, host.removed_at.or(Some(self.now)).filter(|_| is_removed));
+        self.close_outdated_links(index, address, has_restarted);
         if entry.status != HostStatus::Active {
-            self.decide_anew(|_, out| out.to.host == index || out.to.source == index);
+            self.cancel_unsent_forwards(|_, forward| {
+                forward.decision.host == index || forward.decision.source == index
+            });
         }
     }
 
-    /// Gives back what a host had that is gone for longer than any GET lasts: by then nothing in hand or in the
-    /// module names its index, and a new host may take it.
-    pub fn forget_gone(&mut self) {
-        let longest = self.limits.longest + LET_GO;
+    /// Releases the slots of hosts that were removed longer ago than any GET lasts. By then no GET in flight and
+    /// nothing in the decision module refers to the host's index, so a new host may reuse it.
+    pub fn release_removed_hosts(&mut self) {
+        let release_after = self.limits.max_client_wait + RELEASE_MARGIN;
         for host in &mut self.hosts {
-            let over = host.gone_at.is_some_and(|at| self.now >= at + longest);
-            if over && host.links.is_empty() && !host.name.is_empty() {
-                self.places.unregister(&host.name);
-                self.counters.hosts_forgotten += 1;
+            let is_expired = host.removed_at.is_some_and(|at| self.now >= at + release_after);
+            if is_expired && host.links.is_empty() && !host.name.is_empty() {
+                self.host_registry.unregister(&host.name);
+                self.counters.hosts_released += 1;
                 (host.name, host.address) = (Bytes::new(), None);
             }
         }
     }
 
-    /// Ends connections of a process that is no more: this host's earlier one, or another's at the same address.
+    /// Ends connections to a process that no longer exists: this host's earlier process, or another host's process at
+    /// the same address.
     ///
-    /// After a start that is heard of, connections go on that came up after its process was seen to end: they are to the new one.
-    fn new_life(&mut self, index: HostIndex, address: Option<SocketAddr>, has_started: bool) {
-        let ended = self.hosts[index].process_ended_at;
-        let moved = std::mem::replace(&mut self.hosts[index].address, address) != address;
+    /// After a reported restart, connections are kept that were established after the old process was observed to
+    /// end, since they lead to the new one.
+    fn close_outdated_links(&mut self, index: HostIndex, address: Option<SocketAddr>, has_restarted: bool) {
+        let process_ended_at = self.hosts[index].process_ended_at;
+        let has_moved = std::mem::replace(&mut self.hosts[index].address, address) != address;
         let entry = self.hosts[index].entry;
         for host in 0..self.hosts.len() {
-            let own = host == index;
-            if !own && (self.hosts[host].address != address || entry.status != HostStatus::Active) {
+            let is_same_host = host == index;
+            if !is_same_host && (self.hosts[host].address != address || entry.status != HostStatus::Active) {
                 continue;
             }
             for key in self.hosts[host].links.clone() {
                 let link = &mut self.links[key];
-                let is_earlier = link.up && !is_to_new_process(link.since, ended, self.list_known);
-                if !own || moved || has_started && is_earlier {
-                    self.end_link(key, End::Reset);
+                let is_to_old_process =
+                    link.is_up && !is_to_new_process(link.opened_at, process_ended_at, self.list_known);
+                if !is_same_host || has_moved || has_restarted && is_to_old_process {
+                    self.fail_link(key, End::Reset);
                 } else if entry.status == HostStatus::Removed {
-                    link.retired = true;
+                    link.is_retired = true;
                 }
             }
         }
     }
 
-    /// What still waits for a connection, or in the queue of one that its host does not read, was decided before this news:
-    /// it never ran and is decided again. Guards drains and purges, whose graces may be shorter than a connection takes or
-    /// a host hangs. It hurts by one forward of a GET.
-    pub fn decide_anew(&mut self, concerned: impl Fn(&Pending, &Out) -> bool) {
+    /// Cancels affected forwards of which no byte was sent, because they wait for a connection or for a host that
+    /// does not read. They were decided before the current update, have not run and are decided again. This protects
+    /// drains and purges, whose grace may be shorter than it takes to connect or than a host hangs. The cost is one
+    /// of the GET's allowed forwards.
+    pub fn cancel_unsent_forwards(&mut self, is_affected: impl Fn(&PendingGet, &InFlightForward) -> bool) {
         if !self.guards.sending {
             return;
         }
         for (_, link) in self.links.iter_mut() {
-            let (in_flight, ended, connection) = (&mut self.in_flight, &mut self.ended, &mut link.connection);
-            link.out.retain(|&place| {
-                let pending = in_flight.at(place);
-                let out = pending.out.filter(|out| concerned(pending, out));
-                let unsent = |out: &Out| out.message.is_none_or(|message| connection.cancel_unsent(message));
-                let out = out.filter(unsent);
-                if let Some(out) = out {
-                    pending.out = Some(Out { link: None, ..out });
-                    ended.push_back((place, out.serial, End::NeverSent));
+            let (in_flight, ended, connection) =
+                (&mut self.in_flight, &mut self.ended_forwards, &mut link.connection);
+            link.in_flight_gets.retain(|&get_index| {
+                let pending = in_flight.get_mut(get_index);
+                let forward = pending.forward.filter(|forward| is_affected(pending, forward));
+                let is_cancelled = |forward: &InFlightForward| {
+                    forward.message.is_none_or(|message| connection.cancel_unsent(message))
+                };
+                let forward = forward.filter(is_cancelled);
+                if let Some(forward) = forward {
+                    pending.forward = Some(InFlightForward { link: None, ..forward });
+                    ended.push_back((get_index, forward.serial, End::NeverSent));
                 }
-                out.is_none()
+                forward.is_none()
             });
         }
     }
 }
 
-/// Whether a line of a host tells of another start than the one that is known.
-fn has_another_start(known: &HostEntry, told: &HostEntry) -> bool {
-    told.start.claimed_unix_ms() != 0 && told.start.claimed_unix_ms() != known.start.claimed_unix_ms()
+/// Whether a host's listed entry has another start than the known one.
+fn has_new_start(known: &HostEntry, listed: &HostEntry) -> bool {
+    listed.start.claimed_unix_ms() != 0 && listed.start.claimed_unix_ms() != known.start.claimed_unix_ms()
 }
