--- a/crates/dispatcher/src/routing/proxy.rs
+++ b/crates/dispatcher/src/routing/proxy.rs
@@ -1,16 +1,16 @@
-//! What stands between the sockets and the module: who is connected, what is in hand, what is due.
+//! The state between the sockets and the decision module: connections, GETs in flight, timers, log budgets.
 
 use super::clients::Client;
 use super::codec::{self, Codec};
+use super::connection_slab::ConnectionSlab;
 use super::counters::Counters;
 use super::guards::{Effect, Guards};
 use super::hosts::{Host, Link};
-use super::in_flight::InFlight;
-use super::keyed::Keyed;
+use super::in_flight::InFlightGets;
 use super::lifecycle::{Lifecycle, State};
-use super::replicas::Replicas;
-use super::zones::{ZoneNews, Zones};
-use super::{Dispatcher, Key, Who};
+use super::replicas::ReplicaClient;
+use super::zones::{ZoneUpdate, Zones};
+use super::{ConnectionKey, Dispatcher, EventSource};
 use bytes::BytesMut;
 use myrtlegauge::host_life::EndEvidence;
 use myrtlegauge::interface::{End, Get, GetIndex, HostIndex, Note, Settings, duration_from_ms};
@@ -27,307 +27,335 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A buffer that all connections read by way of.
-const SHARED: usize = 64 * 1024;
-/// How often connections are looked over.
-pub const TIDY_EVERY: Duration = Duration::from_millis(100);
-/// Part of a host's idle time after which a connection is closed here, so that nothing is written to one that the
-/// host is closing.
-const IDLE_PART: f64 = 0.8;
-/// The span in which log lines are budgeted: one on faults, `ENDS_LOGGED` on GETs.
-const LOG_EVERY: Duration = Duration::from_millis(1000);
-/// Lines on GETs that were shed or errored, at most, in each `LOG_EVERY`: enough to follow some by id through the
-/// dispatchers that touched them, few enough that an overload is not made worse by its own log (a line costs some
-/// microseconds of the one core).
-const ENDS_LOGGED: u32 = 20;
-/// Parts of the descriptors for clients, for hosts and for connections that are being closed.
-const CLIENTS_PART: f64 = 0.5;
-const LINKS_PART: f64 = 0.35;
-const CLOSING_PART: f64 = 0.05;
-/// Descriptors that are kept for what a dispatcher can't do without, however many clients and hosts there are: the three
-/// standard streams, the loop's three, the listener, the signals, and what the change log's poll opens at once.
-const KEPT: usize = 14;
-/// Time in which an answer that has begun becomes whole, at least: hosts write theirs in one go, and this is a hiccup of the
-/// network;
-const PART_LEAST: Duration = Duration::from_millis(250);
-/// and so many times what the largest object takes at the pace that the settings tell.
-const PART_SLOW: f64 = 2.0;
-/// kB of the largest object, by the protocol page.
-const LARGEST_KB: f64 = 240.0;
-/// Part of the memory that buffers may take before nothing more is read: bytes in hand stand beside them.
-const BUFFERS_PART: f64 = 0.2;
-
-/// The limits that bind.
+/// Size of the buffer through which all connections read.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Interval at which idle and stuck connections are looked for and closed.
+pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Fraction of the hosts' idle timeout after which a connection is closed here, so that nothing is written to a
+/// connection that the host is closing.
+const IDLE_TIME_FRACTION: f64 = 0.8;
+/// Interval of the log budgets: one line on faults and `MAX_END_LINES` lines on GETs in each.
+const LOG_INTERVAL: Duration = Duration::from_millis(1000);
+/// Maximum number of lines in each `LOG_INTERVAL` on GETs that were late or not returned. It allows following some of
+/// them by id through the dispatchers involved, and keeps logging from making an overload worse: a line costs some
+/// microseconds of the only core.
+const MAX_END_LINES: u32 = 20;
+/// Fraction of the descriptors for client connections.
+const CLIENT_FRACTION: f64 = 0.5;
+/// Fraction of the descriptors for connections to hosts.
+const LINK_FRACTION: f64 = 0.35;
+/// Fraction of the descriptors for connections in a lingering close.
+const CLOSING_FRACTION: f64 = 0.05;
+/// Descriptors reserved for what a dispatcher always needs, however many clients and hosts there are: the three
+/// standard streams, three of the event loop, the listener, the signals, and those that the poll of the change log
+/// opens at once.
+const RESERVED_DESCRIPTORS: usize = 14;
+/// Minimum time in which a partly received reply must be completed. Hosts write a reply in one piece, so the rest is
+/// delayed by a short network disturbance only.
+const MIN_PARTIAL_TIMEOUT: Duration = Duration::from_millis(250);
+/// The time to complete a reply is this many times the transfer time of the largest object at the rate in the settings.
+const TRANSFER_TIME_FACTOR: f64 = 2.0;
+/// Size of the largest object, by the protocol page.
+const MAX_OBJECT_KB: f64 = 240.0;
+/// Fraction of the memory that buffers may take before reading stops. The bytes of GETs in flight need memory besides.
+const BUFFER_MEMORY_FRACTION: f64 = 0.2;
+
+/// Limits on the resources of the process.
 #[derive(Clone, Copy)]
-pub struct Room {
+pub struct ResourceLimits {
     pub descriptors: usize,
-    pub memory: usize,
+    pub memory_bytes: usize,
 }
 
-/// What the settings say of connections.
+/// Limits and timeouts of connections and forwards, from the settings.
 pub struct ConnectionLimits {
-    pub streams: usize,
-    pub idle: Duration,
-    pub connect: Duration,
-    pub cancel: bool,
-    pub forwards: u32,
-    /// Time in which an answer that has begun becomes whole.
-    pub part: Duration,
-    /// The longest that any client waits.
-    pub longest: Duration,
-    /// Each class's latency objective, by its index; a GET returned later is logged.
-    aims: Vec<Duration>,
-    /// The same with what the largest object may add: a GET returned later was not returned in time.
-    pub aims_most: Vec<Duration>,
-    /// The kind of host that the origin is, as the settings number kinds.
+    pub streams_per_connection: usize,
+    pub idle_timeout: Duration,
+    pub connect_timeout: Duration,
+    pub can_withdraw: bool,
+    pub max_forwards: u32,
+    /// Time in which a partly received reply must be completed.
+    pub partial_timeout: Duration,
+    /// The longest time that any client waits.
+    pub max_client_wait: Duration,
+    /// Latency objective by class index. A GET returned later is logged.
+    objectives: Vec<Duration>,
+    /// Latency objective plus what the largest object may add, by class index. A GET returned later was not returned
+    /// on time.
+    pub max_on_time: Vec<Duration>,
+    /// Kind index of the origin in the settings.
     pub origin_kind: Option<usize>,
 }
 
-/// What falls due for a forward or a connection.
+/// A timer of a forward, named by GET index and forward serial, or of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    Forward(GetIndex, u64),
-    /// A forward that has not begun by now may no longer.
-    Begin(GetIndex, u64),
-    /// GETs wait no longer for a connection to come up.
-    Connect(Key),
-    /// Nor does anybody.
-    Dial(Key),
+pub enum Timer {
+    /// The forward has timed out.
+    ForwardTimeout(GetIndex, u64),
+    /// The forward may no longer be started.
+    StartDeadline(GetIndex, u64),
+    /// GETs no longer wait for the connection to be established.
+    ConnectTimeout(ConnectionKey),
+    /// The connection attempt is given up.
+    DialTimeout(ConnectionKey),
 }
 
-/// A request that is whole and waits to be taken, with its client.
-pub struct Asked {
-    pub key: Key,
+/// A complete request that waits to be taken, with its client's connection.
+pub struct QueuedRequest {
+    pub key: ConnectionKey,
     pub request: Request,
 }
 
+/// The state between the sockets and the decision module: connections, GETs in flight and timers.
 pub struct Proxy {
-    pub hub: EventLoopHandle<Dispatcher>,
-    pub accounts: Rc<ResourceUsage>,
+    pub event_loop: EventLoopHandle<Dispatcher>,
+    pub resource_usage: Rc<ResourceUsage>,
     pub counters: Counters,
     pub clock: Clock,
-    /// The time of this round.
+    /// The time of the current round.
     pub now: Duration,
     pub codec: Codec,
-    pub places: HostRegistry,
+    pub host_registry: HostRegistry,
     pub limits: ConnectionLimits,
-    pub in_flight: InFlight,
+    pub in_flight: InFlightGets,
     pub hosts: Vec<Host>,
-    pub links: Keyed<Link>,
-    pub clients: Keyed<Client>,
-    pub forwards: u64,
-    /// What the loop said, and what waits because buffers are full.
-    pub ready: Vec<Who>,
-    pub woken: Vec<Who>,
-    /// Connections with bytes to be read by a parser, and with bytes to go out.
-    pub heard_links: VecDeque<Key>,
-    pub heard_clients: VecDeque<Key>,
-    pub dirty: Vec<Who>,
-    /// Forwards that ended here and not by an answer, to be told in the next round.
-    pub ended: VecDeque<(GetIndex, u64, End)>,
-    pub abandoned: VecDeque<GetIndex>,
-    /// Requests that came in this turn and are to be taken, none of whose clients has left since.
-    pub asked: VecDeque<Asked>,
-    /// Hosts whose connections came up after they had been told not to.
-    pub came_up: Vec<HostIndex>,
+    pub links: ConnectionSlab<Link>,
+    pub clients: ConnectionSlab<Client>,
+    pub last_forward_serial: u64,
+    /// Sources that the event loop reported as ready, and those left over because the buffers are full.
+    pub ready: Vec<EventSource>,
+    pub ready_batch: Vec<EventSource>,
+    /// Connections to hosts with received bytes to parse.
+    pub readable_links: VecDeque<ConnectionKey>,
+    /// Client connections with received bytes to parse.
+    pub readable_clients: VecDeque<ConnectionKey>,
+    /// Connections with bytes to write.
+    pub pending_writes: Vec<EventSource>,
+    /// Forwards that ended without a reply, reported to the decision module in the next round.
+    pub ended_forwards: VecDeque<(GetIndex, u64, End)>,
+    pub abandoned_gets: VecDeque<GetIndex>,
+    /// Requests received in this iteration and not yet taken. Requests of clients that have since disconnected are
+    /// removed.
+    pub queued_requests: VecDeque<QueuedRequest>,
+    /// Hosts whose connections were established after they had been reported as not established.
+    pub late_connected_hosts: Vec<HostIndex>,
     pub guards: Guards,
     /// Whether requests may run more than once, by class.
     pub effects: Vec<Effect>,
-    /// Hosts whose processes may have ended, and when; and hosts to which a connection has come up since.
-    pub processes_ended: Vec<(HostIndex, Duration, EndEvidence)>,
+    /// Hosts whose processes may have ended, with the time and the evidence.
+    pub ended_processes: Vec<(HostIndex, Duration, EndEvidence)>,
+    /// Hosts to which a connection has been established since.
     pub connected: Vec<HostIndex>,
-    /// The list of hosts is known up to then.
+    /// The time up to which the host list is known.
     pub list_known: Duration,
     pub closing: ClosingConnections<Dispatcher>,
     pub lifecycle: Lifecycle,
-    pub dues: BinaryHeap<Reverse<(Duration, Due)>>,
-    /// Where messages are written before they go out, and the fields or the head of one.
-    pub pen: BytesMut,
-    pub text: Vec<u8>,
-    pub feed: ChangeLogClient<Dispatcher>,
-    pub feed_heard: bool,
-    /// The replicas that are polled in place of the change log, where operators name them.
-    pub replicas: Option<Replicas<Dispatcher>>,
-    /// Whether none of them waits to be told of the end.
+    pub timers: BinaryHeap<Reverse<(Duration, Timer)>>,
+    /// Scratch buffer in which a message is built.
+    pub write_buffer: BytesMut,
+    /// Scratch buffer for the fields or the head of a message.
+    pub text_buffer: Vec<u8>,
+    pub change_log: ChangeLogClient<Dispatcher>,
+    pub has_change_log_data: bool,
+    /// The client of the replicas, which replaces the change log where operators configure replicas.
+    pub replicas: Option<ReplicaClient<Dispatcher>>,
+    /// Whether the replicas need not be notified of the shutdown any more.
     pub has_left_replicas: bool,
-    pub listed: bool,
-    /// None once it is closed.
+    pub has_host_list: bool,
+    /// `None` once it is closed.
     pub listener: Option<Listener<Dispatcher>>,
     pub accepting: bool,
-    pub shared: Box<[u8]>,
-    pub tidy_at: Duration,
-    pub most_clients: usize,
-    pub most_links: usize,
-    most_buffered: usize,
-    wake_at: Duration,
-    /// Lines on faults: one in each `LOG_EVERY`.
-    faults: Lines,
-    /// Lines on GETs not returned or late.
-    ends: Lines,
-    /// Forwards sent in this `LOG_EVERY` that ask the origin for a fill or go to it, and when the count is told.
-    pub from_origin: u32,
-    /// Answers in the same time that said they were filled from the origin.
-    pub filled_from_origin: u32,
-    from_origin_at: Duration,
-    /// Since when what is believed is old, after a gap in which nothing ran here.
-    pub doubted: Option<Duration>,
+    /// The buffer through which all connections read.
+    pub read_buffer: Box<[u8]>,
+    pub next_sweep_at: Duration,
+    pub max_clients: usize,
+    pub max_links: usize,
+    max_buffered_bytes: usize,
+    wakeup_at: Duration,
+    /// Budget of log lines on faults: one in each `LOG_INTERVAL`.
+    fault_log_budget: LogBudget,
+    /// Budget of log lines on GETs that were late or not returned.
+    end_log_budget: LogBudget,
+    /// Forwards sent in this `LOG_INTERVAL` that go to the origin or name it as their fill source.
+    pub origin_forwards: u32,
+    /// Replies in this `LOG_INTERVAL` that said they were filled from the origin.
+    pub origin_fills: u32,
+    /// When these two counts are logged next.
+    origin_log_due_at: Duration,
+    /// Since when purges may have been missed and the host list may be outdated, after the process was paused or, with
+    /// replicas, while none answers.
+    pub purges_unknown_since: Option<Duration>,
     /// Times from the start of this process to readiness and to full service.
     pub startup: StartupTimeline,
-    /// The fleet's verdicts on zones, where services are followed.
+    /// The fleet's verdicts on zones, where control services are followed.
     pub zones: Option<Zones>,
-    pub zone_heard: Vec<ZoneNews>,
-    pub zones_due: Duration,
-    /// For how many sources are shared, where the members' view has just changed that.
-    pub sharers: Option<usize>,
+    pub zone_updates: Vec<ZoneUpdate>,
+    pub zones_due_at: Duration,
+    /// The new number of routers that share the sources, if the membership view has just changed it.
+    pub new_router_count: Option<usize>,
 }
 
-/// A budget of log lines in each `LOG_EVERY`, and how many went unsaid since the last line said.
+/// Limits the log lines in each `LOG_INTERVAL` and counts the lines suppressed since the last one written.
 ///
-/// Guards against an overload made worse by its own log: every GET shed or late would be a line. It hurts when more
-/// than the budget's lines are wanted to follow a fault; the count of those unsaid stands in the next line.
+/// It keeps logging from making an overload worse, since every GET shed or late would be a line. The cost is that a
+/// fault that needs more lines can't be followed in full; the next line gives the number of suppressed ones.
 #[derive(Debug, Default, PartialEq)]
-pub struct Lines {
-    renewed_at: Duration,
-    left: u32,
-    unsaid: u64,
+pub struct LogBudget {
+    renews_at: Duration,
+    remaining: u32,
+    suppressed: u64,
 }
 
-impl Lines {
-    /// Whether a line may be written now, and if so how many went unsaid before it.
-    pub fn take(&mut self, now: Duration, each: u32) -> Option<u64> {
-        if now >= self.renewed_at {
-            (self.renewed_at, self.left) = (now + LOG_EVERY, each);
+impl LogBudget {
+    /// Returns the number of lines suppressed before this one if a line may be written now, else `None`.
+    pub fn take(&mut self, now: Duration, lines_per_interval: u32) -> Option<u64> {
+        if now >= self.renews_at {
+            (self.renews_at, self.remaining) = (now + LOG_INTERVAL, lines_per_interval);
         }
-        if self.left == 0 {
-            self.unsaid += 1;
+        if self.remaining == 0 {
+            self.suppressed += 1;
             return None;
         }
-        self.left -= 1;
-        Some(std::mem::take(&mut self.unsaid))
+        self.remaining -= 1;
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
 impl ConnectionLimits {
-    /// A class's latency objective; none has no end.
-    pub fn aim(&self, ds: usize) -> Duration {
-        self.aims.get(ds).copied().unwrap_or(Duration::MAX)
+    /// A class's latency objective; unlimited if the class has none.
+    pub fn objective(&self, ds: usize) -> Duration {
+        self.objectives.get(ds).copied().unwrap_or(Duration::MAX)
     }
 
-    pub fn read(told: &Settings) -> Self {
-        let services = || told.get("classes").and_then(|v| v.as_array()).into_iter().flatten();
-        let longest = services().filter_map(|ds| ds.get("deadline_ms")?.as_f64()).fold(0.0, f64::max);
-        let aims = services()
+    /// Reads the limits from the settings.
+    pub fn read(config: &Settings) -> Self {
+        let services = || config.get("classes").and_then(|v| v.as_array()).into_iter().flatten();
+        let max_client_wait = services().filter_map(|ds| ds.get("deadline_ms")?.as_f64()).fold(0.0, f64::max);
+        let objectives = services()
             .map(|ds| duration_from_ms(ds.get("aim_ms").and_then(|v| v.as_f64()).unwrap_or(f64::MAX)))
             .collect();
-        let most = |ds: &serde_json::Value| {
-            let told = |name: &str| ds.get(name).and_then(|v| v.as_f64());
+        let on_time_limit = |ds: &serde_json::Value| {
+            let setting = |name: &str| ds.get(name).and_then(|v| v.as_f64());
             duration_from_ms(
-                told("aim_ms").unwrap_or(f64::MAX) * (1.0 + told("aim_stretch").unwrap_or(0.0).max(0.0)),
+                setting("aim_ms").unwrap_or(f64::MAX)
+                    * (1.0 + setting("aim_stretch").unwrap_or(0.0).max(0.0)),
             )
         };
         Self {
-            aims_most: services().map(most).collect(),
-            streams: number(told, "limits.streams_per_conn").map_or(1, |n| n as usize).max(1),
-            idle: settings::duration(told, "limits.conn_idle_ms").unwrap_or_default().mul_f64(IDLE_PART),
-            connect: settings::duration(told, "limits.connect_timeout_ms").unwrap_or_default(),
-            cancel: flag(told, "limits.cancel"),
-            part: number(told, "domain.flow_kb_per_s").map_or(PART_LEAST, |flow| {
-                duration_from_ms(LARGEST_KB / flow * PART_SLOW * 1e3).max(PART_LEAST)
+            max_on_time: services().map(on_time_limit).collect(),
+            streams_per_connection: number(config, "limits.streams_per_conn")
+                .map_or(1, |n| n as usize)
+                .max(1),
+            idle_timeout: settings::duration(config, "limits.conn_idle_ms")
+                .unwrap_or_default()
+                .mul_f64(IDLE_TIME_FRACTION),
+            connect_timeout: settings::duration(config, "limits.connect_timeout_ms").unwrap_or_default(),
+            can_withdraw: flag(config, "limits.cancel"),
+            partial_timeout: number(config, "domain.flow_kb_per_s").map_or(MIN_PARTIAL_TIMEOUT, |kb_per_s| {
+                duration_from_ms(MAX_OBJECT_KB / kb_per_s * TRANSFER_TIME_FACTOR * 1e3)
+                    .max(MIN_PARTIAL_TIMEOUT)
             }),
-            forwards: number(told, "limits.max_attempts").map_or(u32::MAX, |n| n as u32),
-            longest: duration_from_ms(if longest > 0.0 { longest } else { codec::BUDGET_MOST }),
-            aims,
-            origin_kind: number(told, "domain.master_kind").ok().map(|n| n as usize),
+            max_forwards: number(config, "limits.max_attempts").map_or(u32::MAX, |n| n as u32),
+            max_client_wait: duration_from_ms(if max_client_wait > 0.0 {
+                max_client_wait
+            } else {
+                codec::MAX_BUDGET_MS
+            }),
+            objectives,
+            origin_kind: number(config, "domain.master_kind").ok().map(|n| n as usize),
         }
     }
 }
 
 impl Proxy {
     pub fn new(
-        hub: EventLoopHandle<Dispatcher>,
+        event_loop: EventLoopHandle<Dispatcher>,
         listener: Listener<Dispatcher>,
-        accounts: Rc<ResourceUsage>,
-        feed: ChangeLogClient<Dispatcher>,
-        (codec, places, limits): (Codec, HostRegistry, ConnectionLimits),
-        room: Room,
+        resource_usage: Rc<ResourceUsage>,
+        change_log: ChangeLogClient<Dispatcher>,
+        (codec, host_registry, limits): (Codec, HostRegistry, ConnectionLimits),
+        resource_limits: ResourceLimits,
         clock: Clock,
     ) -> Self {
-        let part = |part: f64| (room.descriptors as f64 * part) as usize;
-        let most_clients = part(CLIENTS_PART);
-        let left = room.descriptors.saturating_sub(KEPT + most_clients + part(CLOSING_PART));
+        let descriptors = |fraction: f64| (resource_limits.descriptors as f64 * fraction) as usize;
+        let max_clients = descriptors(CLIENT_FRACTION);
+        let links_available = resource_limits
+            .descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS + max_clients + descriptors(CLOSING_FRACTION));
         Self {
-            hub,
-            accounts,
+            event_loop,
+            resource_usage,
             counters: Counters::default(),
             now: clock.now(),
             codec,
-            places,
+            host_registry,
             limits,
-            in_flight: InFlight::default(),
+            in_flight: InFlightGets::default(),
             hosts: Vec::new(),
-            links: Keyed::new(),
-            clients: Keyed::new(),
-            forwards: 0,
+            links: ConnectionSlab::new(),
+            clients: ConnectionSlab::new(),
+            last_forward_serial: 0,
             ready: Vec::new(),
-            woken: Vec::new(),
-            heard_links: VecDeque::new(),
-            heard_clients: VecDeque::new(),
-            dirty: Vec::new(),
-            ended: VecDeque::new(),
-            abandoned: VecDeque::new(),
-            asked: VecDeque::new(),
-            came_up: Vec::new(),
+            ready_batch: Vec::new(),
+            readable_links: VecDeque::new(),
+            readable_clients: VecDeque::new(),
+            pending_writes: Vec::new(),
+            ended_forwards: VecDeque::new(),
+            abandoned_gets: VecDeque::new(),
+            queued_requests: VecDeque::new(),
+            late_connected_hosts: Vec::new(),
             guards: Guards::ALL,
             effects: Vec::new(),
-            processes_ended: Vec::new(),
+            ended_processes: Vec::new(),
             connected: Vec::new(),
             list_known: clock.now(),
-            closing: ClosingConnections::new(part(CLOSING_PART)),
+            closing: ClosingConnections::new(descriptors(CLOSING_FRACTION)),
             lifecycle: Lifecycle::new(),
-            dues: BinaryHeap::new(),
-            pen: BytesMut::new(),
-            text: Vec::new(),
-            feed,
-            feed_heard: false,
+            timers: BinaryHeap::new(),
+            write_buffer: BytesMut::new(),
+            text_buffer: Vec::new(),
+            change_log,
+            has_change_log_data: false,
             replicas: None,
             has_left_replicas: true,
-            listed: false,
+            has_host_list: false,
             listener: Some(listener),
             accepting: true,
-            shared: vec![0; SHARED].into(),
-            wake_at: Duration::MAX,
-            tidy_at: Duration::ZERO,
-            faults: Lines::default(),
-            ends: Lines::default(),
-            from_origin: 0,
-            filled_from_origin: 0,
-            from_origin_at: Duration::ZERO,
-            doubted: None,
+            read_buffer: vec![0; READ_BUFFER_BYTES].into(),
+            wakeup_at: Duration::MAX,
+            next_sweep_at: Duration::ZERO,
+            fault_log_budget: LogBudget::default(),
+            end_log_budget: LogBudget::default(),
+            origin_forwards: 0,
+            origin_fills: 0,
+            origin_log_due_at: Duration::ZERO,
+            purges_unknown_since: None,
             startup: StartupTimeline::start(clock.now()),
             zones: None,
-            zone_heard: Vec::new(),
-            zones_due: Duration::MAX,
-            sharers: None,
+            zone_updates: Vec::new(),
+            zones_due_at: Duration::MAX,
+            new_router_count: None,
             clock,
-            most_clients,
-            most_links: part(LINKS_PART).min(left).max(1),
-            most_buffered: (room.memory as f64 * BUFFERS_PART) as usize,
+            max_clients,
+            max_links: descriptors(LINK_FRACTION).min(links_available).max(1),
+            max_buffered_bytes: (resource_limits.memory_bytes as f64 * BUFFER_MEMORY_FRACTION) as usize,
         }
     }
 
-    pub fn fall_due(&mut self) {
-        while let Some(&Reverse((_, due))) = self.dues.peek().filter(|Reverse((at, _))| *at <= self.now) {
-            self.dues.pop();
+    /// Handles the timers that have expired.
+    pub fn fire_timers(&mut self) {
+        while let Some(&Reverse((_, due))) = self.timers.peek().filter(|Reverse((at, _))| *at <= self.now) {
+            self.timers.pop();
             match due {
-                Due::Forward(place, serial) => self.overdue(place, serial),
-                Due::Begin(place, serial) => self.too_late_to_begin(place, serial),
-                Due::Connect(key) => {
-                    if self.links.get_mut(key).is_some_and(|link| !link.up) {
-                        self.link_late(key);
+                Timer::ForwardTimeout(get_index, serial) => self.on_forward_timeout(get_index, serial),
+                Timer::StartDeadline(get_index, serial) => self.on_start_deadline(get_index, serial),
+                Timer::ConnectTimeout(key) => {
+                    if self.links.get_mut(key).is_some_and(|link| !link.is_up) {
+                        self.on_connect_timeout(key);
                     }
                 }
-                Due::Dial(key) => {
-                    if self.links.get_mut(key).is_some_and(|link| !link.up) {
+                Timer::DialTimeout(key) => {
+                    if self.links.get_mut(key).is_some_and(|link| !link.is_up) {
                         self.drop_link(key);
                     }
                 }
@@ -335,67 +363,68 @@
         }
     }
 
-    /// No room for more answers until some have gone out.
-    pub fn is_full(&self) -> bool {
-        self.accounts.buffered_bytes.current() > self.most_buffered
+    /// Whether the buffers are full, so that no more replies are read until some answers are written.
+    pub fn are_buffers_full(&self) -> bool {
+        self.resource_usage.buffered_bytes.current() > self.max_buffered_bytes
     }
 
-    /// No room for more requests either.
-    pub fn is_full_of_requests(&self) -> bool {
-        self.accounts.buffered_bytes.current() + self.accounts.request_bytes.current() > self.most_buffered
+    /// Whether buffers and requests together exceed the memory limit, so that requests are refused.
+    pub fn is_request_memory_full(&self) -> bool {
+        self.resource_usage.buffered_bytes.current() + self.resource_usage.request_bytes.current()
+            > self.max_buffered_bytes
     }
 
-    /// Bytes of requests that a client may hold here while there is no room for all: what one sends without end is refused, and
-    /// the others' requests, their ends and their calls-off are read all the while.
-    pub fn share_of_requests(&self) -> usize {
-        self.most_buffered / 2 / self.clients.len().max(1)
+    /// Bytes that the requests of one client may hold while memory is full. The excess of a client that sends without
+    /// limit is refused, while the requests, disconnects and cancellations of other clients are still read.
+    pub fn request_bytes_per_client(&self) -> usize {
+        self.max_buffered_bytes / 2 / self.clients.len().max(1)
     }
 
-    /// Counts what could not be read or used, and tells of it now and then.
-    pub fn fault(&mut self, what: Arguments<'_>) {
+    /// Counts a message that could not be read or used, and logs it within the log budget.
+    pub fn report_fault(&mut self, fault: Arguments<'_>) {
         self.counters.faults += 1;
-        if let Some(unsaid) = self.faults.take(self.now, 1) {
-            log::warn!("{what} ({unsaid} more since the last such line)");
+        if let Some(suppressed) = self.fault_log_budget.take(self.now, 1) {
+            log::warn!("{fault} ({suppressed} more faults since the last such line)");
         }
     }
 
-    /// Tells once in each `LOG_EVERY` how many forwards went to the origin or named it as their fill source, and how
-    /// many answers said they were filled from it, where any: summed over a fleet's logs by second, what the origin
-    /// was asked for and what it did.
-    pub fn tell_origin(&mut self) {
-        if self.now < self.from_origin_at {
+    /// Logs once in each `LOG_INTERVAL` how many forwards went to the origin or named it as their fill source, and
+    /// how many replies said they were filled from it, if there were any. Summed over a fleet's logs by second, the
+    /// counts are the origin's requested and performed fills.
+    pub fn log_origin_use(&mut self) {
+        if self.now < self.origin_log_due_at {
             return;
         }
-        if self.from_origin > 0 || self.filled_from_origin > 0 {
+        if self.origin_forwards > 0 || self.origin_fills > 0 {
             let (forwards, filled) =
-                (std::mem::take(&mut self.from_origin), std::mem::take(&mut self.filled_from_origin));
+                (std::mem::take(&mut self.origin_forwards), std::mem::take(&mut self.origin_fills));
             log::info!(forwards, filled; "from the origin");
         }
-        self.from_origin_at = self.now + LOG_EVERY;
+        self.origin_log_due_at = self.now + LOG_INTERVAL;
     }
 
     /// Logs a milestone of the startup, once in each process. Operators add these lines up over a fleet.
-    pub fn tell_return(&self, step: &str) {
-        let ms = |span: Option<Duration>| span.map_or(-1, |span| span.as_millis() as i64);
+    pub fn log_startup_step(&self, step: &str) {
+        let to_ms = |span: Option<Duration>| span.map_or(-1, |span| span.as_millis() as i64);
         let reached = self.startup.milestones();
-        let (ready_ms, whole_ms) = (ms(reached.hosts_known), ms(reached.log_synced));
-        let (returned_ms, full_ms) = (ms(reached.first_answer), ms(reached.full_service));
+        let (ready_ms, whole_ms) = (to_ms(reached.hosts_known), to_ms(reached.log_synced));
+        let (returned_ms, full_ms) = (to_ms(reached.first_answer), to_ms(reached.full_service));
         let [list, purges, source, host, other] = LossCause::ALL.map(|cause| self.startup.losses_by(cause));
         log::info!(step, ready_ms, whole_ms, returned_ms, full_ms, list, purges, source, host, other; "return");
     }
 
     /// Logs full service once it is reached.
-    pub fn look_at_return(&mut self) {
+    pub fn check_full_service(&mut self) {
         if self.startup.advance(self.now) {
-            self.tell_return("full");
+            self.log_startup_step("full");
         }
     }
 
     /// Records a request that was not answered, by its cause.
-    pub fn note_lost(&mut self, place: GetIndex) {
-        let pending = self.in_flight.at(place);
-        let cause = match pending.last {
-            _ if !self.listed => LossCause::HostList,
+    pub fn record_lost_request(&mut self, get_index: GetIndex) {
+        let pending = self.in_flight.get_mut(get_index);
+        let cause = match pending.last_end {
+            _ if !self.has_host_list => LossCause::HostList,
             None => LossCause::Host,
             Some((_, End::Miss, _)) => LossCause::Source,
             Some((_, _, note)) => match note {
@@ -411,88 +440,106 @@
         self.startup.request_lost(cause, self.now);
     }
 
-    /// Whether a line on a GET not returned or late may be written now, and how many went unsaid before it.
-    pub fn may_log_end(&mut self) -> Option<u64> {
-        self.ends.take(self.now, ENDS_LOGGED)
+    /// Takes a line from the budget for GETs that were late or not returned; see [`LogBudget::take`].
+    pub fn take_end_log_line(&mut self) -> Option<u64> {
+        self.end_log_budget.take(self.now, MAX_END_LINES)
     }
 
-    pub fn next_due(&self) -> Duration {
-        if !self.zone_heard.is_empty()
-            || self.sharers.is_some()
-            || self.ready.iter().any(|who| !matches!(who, Who::Link(_)))
-            || !self.ready.is_empty() && !self.is_full()
+    /// The next time at which there is work without any socket event.
+    pub fn next_deadline(&self) -> Duration {
+        if !self.zone_updates.is_empty()
+            || self.new_router_count.is_some()
+            || self.ready.iter().any(|source| !matches!(source, EventSource::Link(_)))
+            || !self.ready.is_empty() && !self.are_buffers_full()
         {
             return Duration::ZERO;
         }
-        let first = self.dues.peek().map_or(Duration::MAX, |Reverse((at, _))| *at);
-        let own = self.lifecycle.due(self.now);
-        first.min(self.wake_at).min(self.tidy_at).min(self.news_due()).min(self.zones_due).min(own)
+        let next_timer = self.timers.peek().map_or(Duration::MAX, |Reverse((at, _))| *at);
+        let next_shutdown_step = self.lifecycle.next_deadline(self.now);
+        next_timer
+            .min(self.wakeup_at)
+            .min(self.next_sweep_at)
+            .min(self.poll_deadline())
+            .min(self.zones_due_at)
+            .min(next_shutdown_step)
     }
 
-    pub fn has_news(&self) -> bool {
-        self.feed_heard
+    /// Whether another round is needed.
+    pub fn has_work(&self) -> bool {
+        self.has_change_log_data
             || self
                 .replicas
                 .as_ref()
-                .is_some_and(|replicas| replicas.has_news() || replicas.is_turning(self.now))
-            || self.sharers.is_some()
-            || !self.heard_links.is_empty()
-            || !self.heard_clients.is_empty()
-            || !self.ended.is_empty()
-            || !self.abandoned.is_empty()
-            || !self.asked.is_empty()
-            || !self.came_up.is_empty()
+                .is_some_and(|replicas| replicas.has_records() || replicas.has_uncertainty_changed(self.now))
+            || self.new_router_count.is_some()
+            || !self.readable_links.is_empty()
+            || !self.readable_clients.is_empty()
+            || !self.ended_forwards.is_empty()
+            || !self.abandoned_gets.is_empty()
+            || !self.queued_requests.is_empty()
+            || !self.late_connected_hosts.is_empty()
             || self.must_answer()
-            || self.now >= self.wake_at
-            || self.now >= self.zones_due
+            || self.now >= self.wakeup_at
+            || self.now >= self.zones_due_at
     }
 
-    pub fn wake_in(&mut self, after: Duration) {
-        self.wake_at = self.wake_at.min(self.now + after);
+    pub fn schedule_wakeup_in(&mut self, after: Duration) {
+        self.wakeup_at = self.wakeup_at.min(self.now + after);
     }
 
-    pub fn wakes(&mut self) -> bool {
-        let wakes = self.now >= self.wake_at;
-        if wakes {
-            self.wake_at = Duration::MAX;
+    /// Whether the wake-up that the decision module asked for is due; if so, clears it.
+    pub fn take_wakeup(&mut self) -> bool {
+        let is_due = self.now >= self.wakeup_at;
+        if is_due {
+            self.wakeup_at = Duration::MAX;
         }
-        wakes
+        is_due
     }
 
-    /// Forwards on the connections of a host.
-    pub fn out_at(&self, host: HostIndex) -> usize {
-        self.hosts[host].links.iter().map(|&key| self.links[key].out.len()).sum()
+    /// Number of forwards on the connections of a host.
+    pub fn forwards_at(&self, host: HostIndex) -> usize {
+        self.hosts[host].links.iter().map(|&key| self.links[key].in_flight_gets.len()).sum()
     }
 
+    /// Whether health checks succeed: a host list is known, no shutdown was requested and the zone verdicts are
+    /// current.
     pub fn is_ready(&self) -> bool {
-        let serves = self.lifecycle.state() == State::Serving;
-        self.listed && serves && !self.zones.as_ref().is_some_and(|z| z.is_unsure(self.now))
+        let is_serving = self.lifecycle.state() == State::Serving;
+        self.has_host_list
+            && is_serving
+            && !self.zones.as_ref().is_some_and(|zones| zones.is_unsure(self.now))
     }
 
+    /// Starts the graceful shutdown.
     pub fn stop(&mut self) {
-        if self.lifecycle.end(self.clock.now(), self.limits.longest) {
-            log::info!("asked to end; {} GETs in hand", self.in_flight.owed);
+        if self.lifecycle.begin_shutdown(self.clock.now(), self.limits.max_client_wait) {
+            log::info!("shutdown requested; draining {} GETs in flight", self.in_flight.unanswered_count);
         }
     }
 
-    /// The end is near and GETs are in hand.
+    /// Whether the answer deadline of the shutdown is reached and GETs are in flight.
     pub fn must_answer(&self) -> bool {
-        self.in_flight.owed > 0 && self.lifecycle.must_answer(self.now)
+        self.in_flight.unanswered_count > 0 && self.lifecycle.must_answer(self.now)
     }
 
     pub fn is_done(&self) -> bool {
         self.lifecycle.state() == State::Done
     }
 
-    pub fn count_holds(&mut self) {
-        let c = &self.counters;
-        let settled = c.returned + c.shed + c.errored + c.abandoned + self.in_flight.owed as u64;
-        let holds = c.taken == settled;
-        self.counters.must(holds, "taken = answered + abandoned + in hand");
+    /// Checks that each GET taken is answered, abandoned or in flight.
+    pub fn check_get_balance(&mut self) {
+        let counters = &self.counters;
+        let finished = counters.returned
+            + counters.shed
+            + counters.errored
+            + counters.abandoned
+            + self.in_flight.unanswered_count as u64;
+        let is_balanced = counters.taken == finished;
+        self.counters.check_invariant(is_balanced, "GETs taken = answered + abandoned + in flight");
     }
 
-    /// The startup timeline, with the counters.
-    fn return_line(&self) -> String {
+    /// The startup timeline as a line of the report of counters.
+    fn startup_line(&self) -> String {
         let reached = self.startup.milestones();
         let spans = [
             ("list known", reached.hosts_known),
@@ -500,38 +547,38 @@
             ("first returned", reached.first_answer),
             ("full service", reached.full_service),
         ];
-        let told = |(name, span): (&str, Option<Duration>)| match span {
+        let describe = |(name, span): (&str, Option<Duration>)| match span {
             Some(span) => format!("{name} {} ms", span.as_millis()),
             None => format!("{name} not yet"),
         };
-        let spans = spans.map(told);
+        let spans = spans.map(describe);
         let losses =
             LossCause::ALL.map(|cause| format!("{} {}", cause.name(), self.startup.losses_by(cause)));
         format!("return: {}; held back until then: {}", spans.join(", "), losses.join(" "))
     }
 
     pub fn report(&self) {
-        let accounts = &self.accounts;
+        let resource_usage = &self.resource_usage;
         log::info!(
             "{}\n{}\nin hand: {} GETs, {} clients, {} connections to hosts\n\
              peaks: {} connections, {} bytes in buffers, {} in requests; bytes in {} out {}",
             self.counters,
-            self.return_line(),
-            self.in_flight.owed,
+            self.startup_line(),
+            self.in_flight.unanswered_count,
             self.clients.len(),
             self.links.len(),
-            accounts.descriptors.peak(),
-            accounts.buffered_bytes.peak(),
-            accounts.request_bytes.peak(),
-            accounts.bytes_in.current(),
-            accounts.bytes_out.current()
+            resource_usage.descriptors.peak(),
+            resource_usage.buffered_bytes.peak(),
+            resource_usage.request_bytes.peak(),
+            resource_usage.bytes_in.current(),
+            resource_usage.bytes_out.current()
         );
     }
 
-    /// A GET of the next request that is whole, if there is one; requests that are not GETs are answered here.
-    pub fn next_get(&mut self, place: GetIndex) -> Option<Get> {
-        while let Some(Asked { key, request }) = self.asked.pop_front() {
-            if let Some(get) = self.take(key, place, request) {
+    /// Takes the next complete request that is a valid GET, if there is one. Other requests are answered here.
+    pub fn next_get(&mut self, get_index: GetIndex) -> Option<Get> {
+        while let Some(QueuedRequest { key, request }) = self.queued_requests.pop_front() {
+            if let Some(get) = self.accept_request(key, get_index, request) {
                 return Some(get);
             }
         }
@@ -539,6 +586,6 @@
     }
 
     pub fn next_abandoned(&mut self) -> Option<GetIndex> {
-        self.abandoned.pop_front()
+        self.abandoned_gets.pop_front()
     }
 }
--- a/crates/dispatcher/src/routing/replicas.rs
+++ b/crates/dispatcher/src/routing/replicas.rs
@@ -1,6 +1,7 @@
-//! News by replicas of the change log, for dispatchers whose operators name them: the sockets around the core's subscriber,
-//! which decides which replica is polled, what is to be applied and whether copies are in doubt. Whoever has a loop can be
-//! the owner, so that the proof runs' dispatchers without clients follow by the same code.
+//! Client of the change log's replicas, for dispatchers whose operators configure them. It adds sockets to the
+//! replication crate's subscriber, which decides which replica is polled, which records are applied and whether
+//! purges may have been missed. It is generic over the owner of the event loop, so that the dispatchers without
+//! clients in the proof runs use the same code.
 
 use myrtlegauge_replication::{
     Ask, ConfigurationError, HostLine, Incarnation, MemberName, PollAnswer, Purge, Record, ReplicaName,
@@ -15,71 +16,74 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the end waits for the replica to be told that this dispatcher leaves; untold, its lease expires there.
-const LEAVES_FOR: Duration = Duration::from_millis(250);
+/// How long the shutdown waits until the replica is notified that this dispatcher leaves. Without the notification,
+/// the lease expires at the replica.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What an operator tells of the replicas.
+/// The operator's configuration of the replicas.
 #[derive(Clone, Debug)]
 pub struct ReplicasStartup {
     /// This dispatcher's name among the members.
     pub name: String,
     /// The replica that is polled while it answers.
     pub primary: SocketAddr,
-    /// The one that is polled while the first does not.
+    /// The replica that is polled while the primary does not answer.
     pub fallback: SocketAddr,
-    /// Without an answer for so long, copies are in doubt.
+    /// After this long without an answer, cached copies are in doubt, because purges may have been missed.
     pub doubt_after: Duration,
-    /// The seed of the subscriber's chance.
+    /// The seed of the subscriber's random generator.
     pub seed: u64,
-    /// All on, except in proofs.
+    /// All are enabled, except in proof runs.
     pub defences: SubscriberDefences,
 }
 
-/// Names one of the two replicas.
+/// Identifies one of the two replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaKey {
     /// The one that is polled while it answers.
     Primary,
-    /// The other one.
+    /// The replica that is polled while the primary does not answer.
     Fallback,
 }
 
-struct Link<O: ReadinessHandler> {
+/// The long poll of one replica.
+struct ReplicaPoll<O: ReadinessHandler> {
     name: ReplicaName,
     poll: LongPollClient<O>,
-    /// When the poll that is out or was answered last was asked.
-    asked_at: Duration,
+    /// When the current or the last answered poll was started.
+    polled_at: Duration,
 }
 
-impl<O: ReadinessHandler> Link<O> {
+impl<O: ReadinessHandler> ReplicaPoll<O> {
     fn new(address: SocketAddr, key: O::Key) -> Self {
-        // Replicas are told apart by where they listen.
+        // Replicas are identified by the addresses they listen on.
         Self {
             name: ReplicaName(address.to_string()),
             poll: LongPollClient::new(address, key),
-            asked_at: Duration::ZERO,
+            polled_at: Duration::ZERO,
         }
     }
 }
 
-/// The replicas as a dispatcher polls them.
-pub struct Replicas<O: ReadinessHandler> {
-    core: Subscriber,
-    links: [Link<O>; 2],
-    /// Records that are still to be applied; until then nothing is acknowledged.
-    news: VecDeque<Record>,
-    /// Whether copies were in doubt when that was last asked.
-    was_in_doubt: bool,
-    /// When the last poll was asked that has been answered: what the replica had then is known.
+/// Polls the replicas and queues the records to apply.
+pub struct ReplicaClient<O: ReadinessHandler> {
+    subscriber: Subscriber,
+    replicas: [ReplicaPoll<O>; 2],
+    /// Records still to be applied. They are acknowledged only after that.
+    records: VecDeque<Record>,
+    /// The state at the last call of `update_uncertainty`.
+    was_uncertain: bool,
+    /// When the last answered poll was started. All that the replica had then is known.
     list_known: Duration,
-    /// Until when the end waits for the last poll to go out.
-    leaves_until: Option<Duration>,
+    /// Until when the shutdown waits for the leave notification to be sent.
+    leave_deadline: Option<Duration>,
 }
 
 /// One or more records to be applied together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Lines of the list of hosts. One by one, each would have the decision module lay all its rings anew.
+    /// Lines of the host list. They are applied together because each update makes the decision module rebuild all
+    /// its rings.
     HostLines(Vec<HostLine>),
     /// A purge.
     Purge(Purge),
@@ -87,188 +91,209 @@
     Other,
 }
 
-/// What came of a poll that was lost.
-pub struct LostPoll(String);
+/// Why a poll failed.
+pub struct PollError(String);
 
-impl fmt::Display for LostPoll {
+impl fmt::Display for PollError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl<O: ReadinessHandler> Replicas<O> {
-    /// Nothing is known yet: copies are in doubt until the dispatcher is attached. `key_of` says how the owner is told
-    /// which replica's poll is ready.
+impl<O: ReadinessHandler> ReplicaClient<O> {
+    /// Starts without any knowledge: purges count as missed until the dispatcher is attached to a replica.
+    /// `event_key_of` gives the key under which the owner's event loop reports a replica's poll as ready.
     ///
     /// # Errors
-    /// Terms that can't work.
+    /// A configuration that the subscriber rejects.
     pub fn new(
-        told: &ReplicasStartup,
-        key_of: impl Fn(ReplicaKey) -> O::Key,
+        startup: &ReplicasStartup,
+        event_key_of: impl Fn(ReplicaKey) -> O::Key,
         unix_ms: u64,
         now: Duration,
     ) -> Result<Self, ConfigurationError> {
-        let links = [
-            Link::new(told.primary, key_of(ReplicaKey::Primary)),
-            Link::new(told.fallback, key_of(ReplicaKey::Fallback)),
+        let replicas = [
+            ReplicaPoll::new(startup.primary, event_key_of(ReplicaKey::Primary)),
+            ReplicaPoll::new(startup.fallback, event_key_of(ReplicaKey::Fallback)),
         ];
         let config = SubscriberConfig {
-            doubt_after: told.doubt_after,
-            seed: told.seed,
-            defences: told.defences,
+            doubt_after: startup.doubt_after,
+            seed: startup.seed,
+            defences: startup.defences,
             ..SubscriberConfig::new(
-                MemberName(told.name.clone()),
+                MemberName(startup.name.clone()),
                 Incarnation(unix_ms),
-                links[0].name.clone(),
-                Some(links[1].name.clone()),
+                replicas[0].name.clone(),
+                Some(replicas[1].name.clone()),
             )
         };
-        let core = Subscriber::new(config, now)?;
+        let subscriber = Subscriber::new(config, now)?;
         Ok(Self {
-            core,
-            links,
-            news: VecDeque::new(),
-            was_in_doubt: true,
+            subscriber,
+            replicas,
+            records: VecDeque::new(),
+            was_uncertain: true,
             list_known: now,
-            leaves_until: None,
+            leave_deadline: None,
         })
     }
 
-    /// Reads and writes what can be; true: there is more to read.
-    pub fn on_ready(&mut self, key: ReplicaKey, shared: &mut [u8]) -> bool {
-        self.links[key as usize].poll.on_ready(shared)
+    /// Reads and writes as far as possible. Returns whether there is more to read.
+    pub fn on_ready(&mut self, key: ReplicaKey, read_buffer: &mut [u8]) -> bool {
+        self.replicas[key as usize].poll.on_ready(read_buffer)
     }
 
-    /// Takes the next answer; why a poll was lost. None: nothing more came.
-    pub fn hear(&mut self, now: Duration) -> Option<Result<(), LostPoll>> {
-        let outcome = |link: &mut Link<O>| Some((link.name.clone(), link.poll.take_result(now)?));
-        let (name, answer) = self.links.iter_mut().find_map(outcome)?;
+    /// Handles the next finished poll and returns its result, or `None` if no poll has finished.
+    pub fn next_result(&mut self, now: Duration) -> Option<Result<(), PollError>> {
+        let outcome =
+            |replica: &mut ReplicaPoll<O>| Some((replica.name.clone(), replica.poll.take_result(now)?));
+        let (name, answer) = self.replicas.iter_mut().find_map(outcome)?;
         Some(match answer {
-            Ok(body) => self.take(&name, &body, now),
-            Err(StreamError(what)) => {
-                self.core.failed(&name, now);
-                Err(LostPoll(format!("{name}: {what}")))
+            Ok(body) => self.apply_answer(&name, &body, now),
+            Err(StreamError(error)) => {
+                self.subscriber.failed(&name, now);
+                Err(PollError(format!("{name}: {error}")))
             }
         })
     }
 
-    fn take(&mut self, name: &ReplicaName, body: &[u8], now: Duration) -> Result<(), LostPoll> {
+    fn apply_answer(&mut self, name: &ReplicaName, body: &[u8], now: Duration) -> Result<(), PollError> {
         let answer: PollAnswer = match serde_json::from_slice(body) {
             Ok(answer) => answer,
             Err(e) => {
-                self.core.failed(name, now);
-                return Err(LostPoll(format!("{name}: an answer can't be read: {e}")));
+                self.subscriber.failed(name, now);
+                return Err(PollError(format!("{name}: unreadable answer: {e}")));
             }
         };
-        let taken = self.core.answered(name, answer, now).map_err(|error| LostPoll(error.to_string()))?;
-        self.news.extend(taken.apply);
-        let asked = self.links.iter().find(|link| link.name == *name).map(|link| link.asked_at);
-        self.list_known = self.list_known.max(asked.unwrap_or_default());
+        let accepted =
+            self.subscriber.answered(name, answer, now).map_err(|error| PollError(error.to_string()))?;
+        self.records.extend(accepted.apply);
+        let polled_at =
+            self.replicas.iter().find(|replica| replica.name == *name).map(|replica| replica.polled_at);
+        self.list_known = self.list_known.max(polled_at.unwrap_or_default());
         Ok(())
     }
 
-    /// Sends the polls that the core wants to be sent, once all that came was applied.
-    pub fn ask(&mut self, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>, now: Duration) {
-        if self.has_news() || self.leaves_until.is_some() {
+    /// Sends the polls that the subscriber requests, once all received records are applied.
+    pub fn send_polls(
+        &mut self,
+        event_loop: &EventLoopHandle<O>,
+        resource_usage: &Rc<ResourceUsage>,
+        now: Duration,
+    ) {
+        if self.has_records() || self.leave_deadline.is_some() {
             return;
         }
-        while let Some(ask) = self.core.next_ask(now) {
-            self.send(&ask, hub, accounts, now);
+        while let Some(ask) = self.subscriber.next_ask(now) {
+            self.send(&ask, event_loop, resource_usage, now);
         }
     }
 
-    fn send(&mut self, ask: &Ask, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>, now: Duration) {
-        if let Some(link) = self.links.iter_mut().find(|link| link.name == ask.to) {
-            link.asked_at = now;
-            link.poll.start_poll(&ask.request.to_query(), ask.give_up_at, hub, accounts);
+    fn send(
+        &mut self,
+        ask: &Ask,
+        event_loop: &EventLoopHandle<O>,
+        resource_usage: &Rc<ResourceUsage>,
+        now: Duration,
+    ) {
+        if let Some(replica) = self.replicas.iter_mut().find(|replica| replica.name == ask.to) {
+            replica.polled_at = now;
+            replica.poll.start_poll(&ask.request.to_query(), ask.give_up_at, event_loop, resource_usage);
         }
     }
 
-    /// Until when the list of hosts is known, by what the replicas had.
+    /// The time up to which the host list is known, by the replicas' answers.
     pub fn list_known(&self) -> Duration {
         self.list_known
     }
 
-    /// Whether there are records to be applied.
-    pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+    /// Whether there are records to apply.
+    pub fn has_records(&self) -> bool {
+        !self.records.is_empty()
     }
 
-    /// What is to be applied next.
+    /// The next change to apply.
     pub fn next_change(&mut self) -> Option<Change> {
-        Some(match self.news.pop_front()? {
+        Some(match self.records.pop_front()? {
             Record::Purge(purge) => Change::Purge(purge),
             Record::HostLine(first) => Change::HostLines(self.host_lines_from(first)),
             Record::Configuration(_) | Record::Member(_) => Change::Other,
         })
     }
 
-    /// A host's line and those that follow on it without another record between.
+    /// A host line and the host lines that directly follow it.
     fn host_lines_from(&mut self, first: HostLine) -> Vec<HostLine> {
         let mut lines = vec![first];
-        while let Some(Record::HostLine(_)) = self.news.front()
-            && let Some(Record::HostLine(line)) = self.news.pop_front()
+        while let Some(Record::HostLine(_)) = self.records.front()
+            && let Some(Record::HostLine(line)) = self.records.pop_front()
         {
             lines.push(line);
         }
         lines
     }
 
-    /// Whether a doubt has begun or ended since that was last asked.
-    pub fn is_turning(&self, now: Duration) -> bool {
-        self.core.in_doubt(now).is_some() != self.was_in_doubt
+    /// Whether the uncertainty has begun or ended since the last call of `update_uncertainty`.
+    pub fn has_uncertainty_changed(&self, now: Duration) -> bool {
+        self.subscriber.in_doubt(now).is_some() != self.was_uncertain
     }
 
-    /// Whether copies are in doubt, to be asked once all that came was applied.
-    pub fn in_doubt(&mut self, now: Duration) -> Doubt {
-        let is_in_doubt = self.core.in_doubt(now).is_some();
-        let was_in_doubt = std::mem::replace(&mut self.was_in_doubt, is_in_doubt);
-        match (was_in_doubt, is_in_doubt) {
-            (false, true) => Doubt::Begins,
-            (true, true) => Doubt::Lasts,
-            (true, false) => Doubt::Ends,
-            (false, false) => Doubt::None,
+    /// Whether purges may have been missed. To be called once all received records are applied.
+    pub fn update_uncertainty(&mut self, now: Duration) -> PurgeUncertainty {
+        let is_uncertain = self.subscriber.in_doubt(now).is_some();
+        let was_uncertain = std::mem::replace(&mut self.was_uncertain, is_uncertain);
+        match (was_uncertain, is_uncertain) {
+            (false, true) => PurgeUncertainty::Began,
+            (true, true) => PurgeUncertainty::Ongoing,
+            (true, false) => PurgeUncertainty::Ended,
+            (false, false) => PurgeUncertainty::None,
         }
     }
 
-    /// When there is something to do, if nothing comes in.
-    pub fn due(&self, now: Duration) -> Duration {
-        let polls = self.links.iter().map(|link| link.poll.deadline()).min().unwrap_or(Duration::MAX);
-        let core = self.core.next_wake(now).filter(|_| self.leaves_until.is_none()).unwrap_or(Duration::MAX);
-        polls.min(core).min(self.leaves_until.unwrap_or(Duration::MAX))
+    /// The next time at which there is work without any socket event.
+    pub fn deadline(&self, now: Duration) -> Duration {
+        let polls =
+            self.replicas.iter().map(|replica| replica.poll.deadline()).min().unwrap_or(Duration::MAX);
+        let subscriber_deadline =
+            self.subscriber.next_wake(now).filter(|_| self.leave_deadline.is_none()).unwrap_or(Duration::MAX);
+        polls.min(subscriber_deadline).min(self.leave_deadline.unwrap_or(Duration::MAX))
     }
 
-    /// Tells the replica that this dispatcher ends; whether that is done, or was waited for long enough.
-    pub fn leave(&mut self, hub: &EventLoopHandle<O>, accounts: &Rc<ResourceUsage>, now: Duration) -> bool {
-        if self.leaves_until.is_none() {
-            self.leaves_until = Some(now + LEAVES_FOR);
-            let ask = self.core.leave(now);
-            self.send(&ask, hub, accounts, now);
+    /// Notifies the replica that this dispatcher leaves. Returns whether that is done or has timed out.
+    pub fn leave(
+        &mut self,
+        event_loop: &EventLoopHandle<O>,
+        resource_usage: &Rc<ResourceUsage>,
+        now: Duration,
+    ) -> bool {
+        if self.leave_deadline.is_none() {
+            self.leave_deadline = Some(now + LEAVE_TIMEOUT);
+            let ask = self.subscriber.leave(now);
+            self.send(&ask, event_loop, resource_usage, now);
         }
-        let is_told = !self.links.iter().any(|link| link.poll.is_pending());
-        is_told || self.leaves_until.is_some_and(|until| now >= until)
+        let is_notified = !self.replicas.iter().any(|replica| replica.poll.is_pending());
+        is_notified || self.leave_deadline.is_some_and(|deadline| now >= deadline)
     }
 
-    /// What was done.
+    /// The subscriber's counters.
     pub fn counters(&self) -> SubscriberCounters {
-        self.core.counters()
+        self.subscriber.counters()
     }
 
-    /// What was done, for a log.
-    pub fn line(&self) -> String {
-        format!("replication: polls {} {:?}", self.core.replica(), self.counters())
+    /// The polled replica and the counters as a log line.
+    pub fn summary(&self) -> String {
+        format!("replication: polls {} {:?}", self.subscriber.replica(), self.counters())
     }
 }
 
-/// Whether copies are in doubt: while it lasts, every copy may be purged.
+/// Whether purges may have been missed. During that time, every cached copy may have been purged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
-    /// It has just begun: what was decided and not sent yet is decided again.
-    Begins,
-    /// It goes on.
-    Lasts,
-    /// It has just ended.
-    Ends,
-    /// There is none.
+pub enum PurgeUncertainty {
+    /// The uncertainty has just begun: forwards decided and not yet sent are decided again.
+    Began,
+    /// The uncertainty continues.
+    Ongoing,
+    /// The uncertainty has just ended.
+    Ended,
+    /// No purge is missing.
     None,
 }
--- a/crates/dispatcher/src/routing/sockets.rs
+++ b/crates/dispatcher/src/routing/sockets.rs
@@ -1,145 +1,156 @@
-//! The proxy's sockets: what is read and written in a turn, who is let in, who is closed.
+//! The proxy's sockets: reading, writing, accepting and closing connections.
 
 use super::clients::Client;
 use super::hosts::Link;
 use super::lifecycle::State;
-use super::proxy::{Proxy, TIDY_EVERY};
-use super::{Dispatcher, Key, Who};
+use super::proxy::{Proxy, SWEEP_INTERVAL};
+use super::{ConnectionKey, Dispatcher, EventSource};
 use myrtlegauge::interface::End;
 use myrtlegauge_wire::transport::{Connection, ReadOutcome};
 use std::time::Duration;
 
-/// Time in which a request, and the first one on a connection, becomes whole; far over a slow network's round trips. It is
-/// no part of any deadline, for a request's time counts from its last byte.
-const WHOLE_WITHIN: Duration = Duration::from_millis(1500);
-/// Bytes read in one turn from a client, who may send without end, and from a host, whose answers are larger.
-const CLIENT_MOST: usize = 64 * 1024;
-pub const HOST_MOST: usize = 256 * 1024;
-/// Looks at a connection that seemed idle and on which bytes go on coming, before it is closed all the same.
-const LOOKS_MOST: usize = 4;
+/// Time in which a request, and the first one on a connection, must be complete; far above the round trips of a slow
+/// network. It is not part of any deadline, since a request's deadline counts from its last byte.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Bytes read in one iteration from a client, since a client may send without limit.
+const MAX_CLIENT_READ_BYTES: usize = 64 * 1024;
+/// Bytes read in one iteration from a host, whose replies are larger.
+pub const MAX_HOST_READ_BYTES: usize = 256 * 1024;
+/// How often a seemingly idle connection that keeps receiving bytes is read again before it is closed nevertheless.
+const MAX_IDLE_RECHECKS: usize = 4;
 
 impl Proxy {
-    /// Reads what came on all that was ready, as far as buffers allow.
-    pub fn read(&mut self) {
-        let before = std::mem::replace(&mut self.now, self.clock.now());
-        self.look_for_gap(before);
-        std::mem::swap(&mut self.ready, &mut self.woken);
-        for i in 0..self.woken.len() {
-            let who = self.woken[i];
-            let again = match who {
-                Who::Listener => {
+    /// Reads from all ready sources as far as the buffers allow, accepts clients, handles timers and polls the change
+    /// log.
+    pub fn read_ready(&mut self) {
+        let last_active = std::mem::replace(&mut self.now, self.clock.now());
+        self.detect_pause(last_active);
+        std::mem::swap(&mut self.ready, &mut self.ready_batch);
+        for index in 0..self.ready_batch.len() {
+            let source = self.ready_batch[index];
+            let has_more = match source {
+                EventSource::Listener => {
                     self.accepting = true;
                     false
                 }
-                Who::Client(key) => self.on_client_ready(key),
-                Who::Link(key) => self.on_link_ready(key),
-                Who::Feed => {
-                    self.feed_heard = true;
-                    self.feed.on_ready(&mut self.shared, self.now)
+                EventSource::Client(key) => self.on_client_ready(key),
+                EventSource::Link(key) => self.on_link_ready(key),
+                EventSource::ChangeLog => {
+                    self.has_change_log_data = true;
+                    self.change_log.on_ready(&mut self.read_buffer, self.now)
                 }
-                Who::Replica(key) => {
-                    let Self { replicas, shared, .. } = self;
-                    replicas.as_mut().is_some_and(|replicas| replicas.on_ready(key, shared))
+                EventSource::Replica(key) => {
+                    let Self { replicas, read_buffer, .. } = self;
+                    replicas.as_mut().is_some_and(|replicas| replicas.on_ready(key, read_buffer))
                 }
             };
-            self.ready.extend(again.then_some(who));
+            self.ready.extend(has_more.then_some(source));
         }
-        self.woken.clear();
-        self.accept();
-        self.fall_due();
+        self.ready_batch.clear();
+        self.accept_clients();
+        self.fire_timers();
         self.poll();
     }
 
-    /// True: there is more to read, now or once buffers have room.
-    fn on_client_ready(&mut self, key: Key) -> bool {
-        let Self { clients, shared, now, closing, .. } = self;
+    /// Returns whether there is more to read, now or once the buffers have room.
+    fn on_client_ready(&mut self, key: ConnectionKey) -> bool {
+        let Self { clients, read_buffer, now, closing, .. } = self;
         let Some(client) = clients.get_mut(key) else {
-            return closing.on_ready(Who::Client(key), shared).unwrap_or(false);
+            return closing.on_ready(EventSource::Client(key), read_buffer).unwrap_or(false);
         };
-        // Also while there is no room for requests: their ends and calls-off are among what comes.
-        let (ended, again) = on_ready(&mut client.connection, shared, false, CLIENT_MOST);
-        client.ended |= ended;
-        client.moved_at = *now;
-        self.heard_clients.push_back(key);
-        again
+        // Read even while memory for requests is full, since the data may hold cancellations or the end of the
+        // connection.
+        let (is_closed, has_more) =
+            on_ready(&mut client.connection, read_buffer, false, MAX_CLIENT_READ_BYTES);
+        client.has_ended |= is_closed;
+        client.last_active_at = *now;
+        self.readable_clients.push_back(key);
+        has_more
     }
 
-    fn on_link_ready(&mut self, key: Key) -> bool {
+    fn on_link_ready(&mut self, key: ConnectionKey) -> bool {
         let Some(link) = self.links.get_mut(key) else {
-            return self.closing.on_ready(Who::Link(key), &mut self.shared).unwrap_or(false);
+            return self.closing.on_ready(EventSource::Link(key), &mut self.read_buffer).unwrap_or(false);
         };
-        if !link.up {
+        if !link.is_up {
             match link.connection.is_connected() {
-                Ok(true) => self.link_up(key),
+                Ok(true) => self.on_link_up(key),
                 Ok(false) => return false,
-                Err(e) => self.link_failed(key, e.kind()),
+                Err(e) => self.on_link_failed(key, e.kind()),
             }
             return true;
         }
-        let full = self.is_full();
-        let Self { links, shared, now, .. } = self;
+        let are_buffers_full = self.are_buffers_full();
+        let Self { links, read_buffer, now, .. } = self;
         let link = &mut links[key];
-        let before = link.connection.unparsed_bytes();
-        let (ended, again) = on_ready(&mut link.connection, shared, full, HOST_MOST);
-        link.ended |= ended;
-        if link.connection.unparsed_bytes() > before {
-            link.heard_at = *now;
+        let unparsed_before = link.connection.unparsed_bytes();
+        let (is_closed, has_more) =
+            on_ready(&mut link.connection, read_buffer, are_buffers_full, MAX_HOST_READ_BYTES);
+        link.has_ended |= is_closed;
+        if link.connection.unparsed_bytes() > unparsed_before {
+            link.received_at = *now;
         }
-        if again {
-            // What is here and not read keeps nobody waiting but this side.
-            link.part_since = link.part_since.map(|_| *now);
+        if has_more {
+            // The rest of the reply is already received, so the host is not at fault for the delay.
+            link.partial_since = link.partial_since.map(|_| *now);
         }
-        self.heard_links.push_back(key);
-        again
+        self.readable_links.push_back(key);
+        has_more
     }
 
-    /// Lets in who waits. Over the bound the connection that has asked nothing for longest makes room, else the
-    /// one idle for longest; with none idle, they wait in the listener's queue.
-    fn accept(&mut self) {
+    /// Accepts waiting clients. At the limit, the oldest connection that never sent a request is closed to make room,
+    /// else the one that has been idle for longest. If none is idle, clients wait in the listener's queue.
+    fn accept_clients(&mut self) {
         while self.accepting {
-            let over = self.clients.len() >= self.most_clients;
-            if over && self.longest_idle().is_none() {
+            let is_at_limit = self.clients.len() >= self.max_clients;
+            if is_at_limit && self.longest_idle_client().is_none() {
                 return;
             }
             let Some(listener) = &self.listener else { return };
             match listener.accept() {
                 Ok(Some(stream)) => {
-                    while over
-                        && let Some(key) = self.longest_idle()
+                    while is_at_limit
+                        && let Some(key) = self.longest_idle_client()
                         && !self.close_idle_client(key)
                     {}
                     let key = self.clients.next_key();
-                    let who = Who::Client(key);
-                    if let Ok(connection) = Connection::from_accepted(&self.hub, stream, who, &self.accounts)
+                    let source = EventSource::Client(key);
+                    if let Ok(connection) =
+                        Connection::from_accepted(&self.event_loop, stream, source, &self.resource_usage)
                     {
                         self.clients.insert(key, Client::new(connection, self.now));
                         self.counters.clients += 1;
-                        self.ready.push(who);
+                        self.ready.push(source);
                     }
                 }
                 Ok(None) => self.accepting = false,
-                Err(e) => return self.fault(format_args!("a client's connection could not be taken: {e}")),
+                Err(e) => {
+                    return self.report_fault(format_args!(
+                        "can't accept a client's connection, trying again in the next iteration: {e}"
+                    ));
+                }
             }
         }
     }
 
-    /// Closes a connection that seemed idle, unless a request has just come on it; true: it is closed.
+    /// Closes a seemingly idle connection unless a request has just been received on it. Returns whether it is closed.
     ///
-    /// What comes is parsed as it is read, for a client that writes without end would fill the memory here. One from which
-    /// no request has come after a few looks, which take more than the longest request, is closed with what it writes.
-    fn close_idle_client(&mut self, key: Key) -> bool {
-        for _ in 0..LOOKS_MOST {
-            if !self.look_once_more(key) {
+    /// Data is parsed as it is read, because a client that writes without limit would otherwise fill the memory. After
+    /// `MAX_IDLE_RECHECKS` reads, which take in more than the longest request, a connection without a request is closed
+    /// although more data may come.
+    fn close_idle_client(&mut self, key: ConnectionKey) -> bool {
+        for _ in 0..MAX_IDLE_RECHECKS {
+            if !self.read_again(key) {
                 break;
             }
-            self.parse_all_of(key);
+            self.parse_client(key);
             match self.clients.get_mut(key) {
-                Some(client) if client.idle() => {}
+                Some(client) if client.is_evictable() => {}
                 Some(_) => return false,
                 None => return true,
             }
         }
-        if self.clients[key].ended {
+        if self.clients[key].has_ended {
             self.drop_client(key)
         } else {
             self.close_client(key)
@@ -147,27 +158,27 @@
         true
     }
 
-    /// Reads a client's connection dry; whether something more has come.
-    fn look_once_more(&mut self, key: Key) -> bool {
+    /// Reads a client's connection again. Returns whether more data was received.
+    fn read_again(&mut self, key: ConnectionKey) -> bool {
         let client = &mut self.clients[key];
-        let before = client.connection.unparsed_bytes();
-        let reading = client.connection.read(&mut self.shared, CLIENT_MOST);
-        client.ended |= reading == ReadOutcome::Closed;
-        let more = client.connection.unparsed_bytes() > before;
-        if more || client.ended {
-            self.heard_clients.push_back(key);
+        let unparsed_before = client.connection.unparsed_bytes();
+        let read_outcome = client.connection.read(&mut self.read_buffer, MAX_CLIENT_READ_BYTES);
+        client.has_ended |= read_outcome == ReadOutcome::Closed;
+        let has_received = client.connection.unparsed_bytes() > unparsed_before;
+        if has_received || client.has_ended {
+            self.readable_clients.push_back(key);
         }
-        more
+        has_received
     }
 
-    /// Goes on with the end, where one was asked for: reads all once more before what is to come is refused, then closes
-    /// each connection that is quiet.
-    pub fn end_in_steps(&mut self) {
-        if self.lifecycle.may_close(self.now) {
+    /// Advances a requested shutdown: reads all connections once more before further requests are refused, then
+    /// closes each connection that is idle.
+    pub fn advance_shutdown(&mut self) {
+        if self.lifecycle.should_close(self.now) {
             self.accepting = true;
-            self.accept();
-            let keys: Vec<Key> = self.clients.iter().map(|(key, _)| key).collect();
-            keys.into_iter().for_each(|key| _ = self.look_once_more(key));
+            self.accept_clients();
+            let keys: Vec<ConnectionKey> = self.clients.iter().map(|(key, _)| key).collect();
+            keys.into_iter().for_each(|key| _ = self.read_again(key));
             self.parse_clients();
             self.listener = None;
             self.lifecycle.close();
@@ -175,153 +186,179 @@
         if self.lifecycle.state() != State::Closing {
             return;
         }
-        let rests = |client: &Client| client.rests() && !client.ended;
-        let resting: Vec<Key> = self.clients.iter().filter(|(_, c)| rests(c)).map(|(key, _)| key).collect();
-        for key in resting {
+        let is_closable = |client: &Client| client.is_idle() && !client.has_ended;
+        let closable: Vec<ConnectionKey> =
+            self.clients.iter().filter(|(_, client)| is_closable(client)).map(|(key, _)| key).collect();
+        for key in closable {
             self.close_idle_client(key);
         }
-        let lingers = self.closing.keys().any(|who| matches!(who, Who::Client(_)));
-        self.lifecycle.turn(self.clients.len() == 0 && !lingers && self.in_flight.owed == 0, self.now);
+        let is_closing_clients = self.closing.keys().any(|source| matches!(source, EventSource::Client(_)));
+        self.lifecycle.advance(
+            self.clients.len() == 0 && !is_closing_clients && self.in_flight.unanswered_count == 0,
+            self.now,
+        );
         if self.lifecycle.state() == State::Done {
-            self.leave_hosts();
+            self.half_close_links();
         }
     }
 
-    /// The last step: hosts are told that nothing more comes, and what they have just written is read.
-    fn leave_hosts(&mut self) {
-        let Self { links, shared, .. } = self;
-        for (_, link) in links.iter_mut().filter(|(_, link)| link.up) {
+    /// Last step of the shutdown: half-closes the connections to hosts and discards what the hosts have just written.
+    fn half_close_links(&mut self) {
+        let Self { links, read_buffer, .. } = self;
+        for (_, link) in links.iter_mut().filter(|(_, link)| link.is_up) {
             let _ = link.connection.flush();
             link.connection.half_close();
-            link.connection.discard(shared, HOST_MOST);
+            link.connection.discard(read_buffer, MAX_HOST_READ_BYTES);
         }
     }
 
-    fn longest_idle(&self) -> Option<Key> {
-        let idle = self.clients.iter().filter(|(_, client)| client.idle());
-        let first = |client: &Client| if client.asked { client.moved_at } else { client.since };
-        idle.min_by_key(|(_, client)| (client.asked, first(client))).map(|(key, _)| key)
+    /// The evictable client to close first, if any.
+    fn longest_idle_client(&self) -> Option<ConnectionKey> {
+        let idle = self.clients.iter().filter(|(_, client)| client.is_evictable());
+        let idle_since = |client: &Client| {
+            if client.has_sent_request { client.last_active_at } else { client.accepted_at }
+        };
+        idle.min_by_key(|(_, client)| (client.has_sent_request, idle_since(client))).map(|(key, _)| key)
     }
 
+    /// Closes the connection to a host that has been unused for longest. Returns false if all are in use.
     pub fn close_idle_link(&mut self) -> bool {
-        let idle = self.links.iter().filter(|(_, link)| link.out.is_empty()).min_by_key(|(_, l)| l.used_at);
+        let idle = self
+            .links
+            .iter()
+            .filter(|(_, link)| link.in_flight_gets.is_empty())
+            .min_by_key(|(_, link)| link.last_used_at);
         let Some(key) = idle.map(|(key, _)| key) else { return false };
         self.close_link(key);
         true
     }
 
+    /// Whether another connection to a host may be opened, after closing an idle one if needed.
     pub fn has_room_for_link(&mut self) -> bool {
-        self.links.len() < self.most_links || self.close_idle_link()
+        self.links.len() < self.max_links || self.close_idle_link()
     }
 
-    /// Writes out what this round put down.
-    pub fn write(&mut self) {
-        while let Some(who) = self.dirty.pop() {
-            match who {
-                Who::Client(key) => {
+    /// Writes the messages that were enqueued in this round.
+    pub fn flush_connections(&mut self) {
+        while let Some(source) = self.pending_writes.pop() {
+            match source {
+                EventSource::Client(key) => {
                     let Some(client) = self.clients.get_mut(key) else { continue };
-                    client.ended |= client.connection.flush().is_err();
-                    if client.ended || client.last && client.quiet() {
-                        self.heard_clients.push_back(key);
+                    client.has_ended |= client.connection.flush().is_err();
+                    if client.has_ended || client.closes_after_answers && client.is_drained() {
+                        self.readable_clients.push_back(key);
                     }
                 }
-                Who::Link(key) => {
+                EventSource::Link(key) => {
                     let Some(link) = self.links.get_mut(key) else { continue };
-                    if link.up && link.connection.flush().is_err() && !link.ended {
-                        link.ended = true;
-                        self.heard_links.push_back(key);
+                    if link.is_up && link.connection.flush().is_err() && !link.has_ended {
+                        link.has_ended = true;
+                        self.readable_links.push_back(key);
                     }
                 }
-                Who::Feed | Who::Replica(_) | Who::Listener => {}
+                EventSource::ChangeLog | EventSource::Replica(_) | EventSource::Listener => {}
             }
         }
     }
 
-    /// Closes what is idle or does not move, now and then; true: it did so, and nothing is left to be told.
-    pub fn tidy(&mut self) -> bool {
-        if self.now < self.tidy_at {
+    /// Closes idle and stuck connections once in each `SWEEP_INTERVAL`. Returns true if it did so and no ended
+    /// forward remains to be reported.
+    pub fn sweep(&mut self) -> bool {
+        if self.now < self.next_sweep_at {
             return false;
         }
-        self.tidy_at = self.now + TIDY_EVERY;
-        let (now, idle, longest) = (self.now, self.limits.idle, self.limits.longest);
-        let done = |link: &Link| {
-            link.up
-                && link.out.is_empty()
-                && (link.retired || idle > Duration::ZERO && now >= link.used_at + idle)
+        self.next_sweep_at = self.now + SWEEP_INTERVAL;
+        let (now, idle, max_client_wait) = (self.now, self.limits.idle_timeout, self.limits.max_client_wait);
+        let is_unneeded = |link: &Link| {
+            link.is_up
+                && link.in_flight_gets.is_empty()
+                && (link.is_retired || idle > Duration::ZERO && now >= link.last_used_at + idle)
         };
-        let done: Vec<Key> = self.links.iter().filter(|(_, link)| done(link)).map(|(key, _)| key).collect();
-        for key in done {
+        let unneeded: Vec<ConnectionKey> =
+            self.links.iter().filter(|(_, link)| is_unneeded(link)).map(|(key, _)| key).collect();
+        for key in unneeded {
             self.counters.links_idle += 1;
             self.close_link(key);
         }
         self.closing.expire(now);
-        self.forget_gone();
-        self.tidy_clients();
-        let mut deaf = Vec::new();
+        self.release_removed_hosts();
+        self.sweep_clients();
+        let mut unreading = Vec::new();
         for (key, client) in self.clients.iter_mut() {
-            let flushed = client.connection.written_bytes();
-            if client.flushed != flushed || client.connection.unsent_bytes() == 0 {
-                (client.flushed, client.flushed_at) = (flushed, now);
-            } else if now >= client.flushed_at + longest {
-                // It has taken nothing of its answers for longer than any client waits.
-                deaf.push(key);
+            let written_bytes = client.connection.written_bytes();
+            if client.progress_bytes != written_bytes || client.connection.unsent_bytes() == 0 {
+                (client.progress_bytes, client.write_progress_at) = (written_bytes, now);
+            } else if now >= client.write_progress_at + max_client_wait {
+                // The client has read nothing of its answers for longer than any client waits.
+                unreading.push(key);
             }
         }
-        for key in deaf {
-            // By now it waits for nothing.
-            self.clients[key].ended = true;
+        for key in unreading {
+            // Its requests have timed out, so it waits for nothing.
+            self.clients[key].has_ended = true;
             self.drop_client(key);
         }
-        self.end_stuck_links();
-        self.ended.is_empty()
+        self.fail_stuck_links();
+        self.ended_forwards.is_empty()
     }
 
-    /// A part of an answer that stays one holds up all behind it: the connection is of no further use. It hurts
-    /// where a host takes longer than this between two writes of one answer.
-    fn end_stuck_links(&mut self) {
-        let stuck = |link: &Link| link.part_since.is_some_and(|since| self.now >= since + self.limits.part);
-        let stuck: Vec<Key> = self.links.iter().filter(|(_, link)| stuck(link)).map(|(key, _)| key).collect();
+    /// Ends connections on which an incomplete reply is not completed in time, since it blocks all replies behind it.
+    /// The cost is a good connection lost if a host takes longer than the timeout between two writes of one reply.
+    fn fail_stuck_links(&mut self) {
+        let is_stuck = |link: &Link| {
+            link.partial_since.is_some_and(|since| self.now >= since + self.limits.partial_timeout)
+        };
+        let stuck: Vec<ConnectionKey> =
+            self.links.iter().filter(|(_, link)| is_stuck(link)).map(|(key, _)| key).collect();
         for key in stuck {
             self.counters.links_stuck += 1;
-            self.end_link(key, End::Spoilt);
+            self.fail_link(key, End::Spoilt);
         }
     }
 
-    /// Refuses requests that are begun and do not become whole, and closes connections that say nothing whole. It
-    /// hurts a client that takes longer to write a request than this, which on a clear network none does.
-    fn tidy_clients(&mut self) {
-        let then = self.now.saturating_sub(WHOLE_WITHIN);
-        let stuck = |client: &Client| {
-            client.part_since.is_some_and(|since| since < then) || !client.asked && client.since < then
+    /// Refuses requests that are not completed in time, and closes connections on which nothing complete is received.
+    /// The cost is an error for a client that takes longer to write a request, which does not happen on an
+    /// undisturbed network.
+    fn sweep_clients(&mut self) {
+        let oldest_allowed = self.now.saturating_sub(REQUEST_TIMEOUT);
+        let is_stuck = |client: &Client| {
+            client.partial_since.is_some_and(|since| since < oldest_allowed)
+                || !client.has_sent_request && client.accepted_at < oldest_allowed
         };
-        let keys: Vec<Key> =
-            self.clients.iter().filter(|(_, c)| !c.idle() || !c.asked).map(|(k, _)| k).collect();
+        let keys: Vec<ConnectionKey> = self
+            .clients
+            .iter()
+            .filter(|(_, client)| !client.is_evictable() || !client.has_sent_request)
+            .map(|(key, _)| key)
+            .collect();
         for key in keys {
             while let Some(client) = self.clients.get_mut(key)
-                && let Some(number) = client.refuse_older(&self.accounts.request_bytes, then)
+                && let Some(number) =
+                    client.refuse_older_than(&self.resource_usage.request_bytes, oldest_allowed)
             {
-                self.refuse(key, number);
+                self.refuse_request(key, number);
             }
             let client = &mut self.clients[key];
-            if stuck(client) && !client.reads_no_further {
-                self.counters.mute += 1;
+            if is_stuck(client) && !client.ignores_input {
+                self.counters.silent_clients += 1;
                 self.close_client(key);
             }
         }
     }
 }
 
-/// Writes what waits and reads what came; whether the connection has ended, and whether there is more to read.
+/// Writes pending output and reads received data. Returns whether the connection has ended and whether there is more
+/// to read.
 fn on_ready(
     connection: &mut Connection<Dispatcher>,
-    shared: &mut [u8],
-    full: bool,
-    most: usize,
+    read_buffer: &mut [u8],
+    are_buffers_full: bool,
+    max_bytes: usize,
 ) -> (bool, bool) {
-    let broken = connection.flush().is_err();
-    if full && !broken {
+    let has_failed = connection.flush().is_err();
+    if are_buffers_full && !has_failed {
         return (false, true);
     }
-    let reading = connection.read(shared, most);
-    (broken || reading == ReadOutcome::Closed, reading == ReadOutcome::More)
+    let read_outcome = connection.read(read_buffer, max_bytes);
+    (has_failed || read_outcome == ReadOutcome::Closed, read_outcome == ReadOutcome::More)
 }
--- a/crates/dispatcher/src/routing/zones.rs
+++ b/crates/dispatcher/src/routing/zones.rs
@@ -1,5 +1,6 @@
-//! The fleet's verdicts on zones at this dispatcher: news come in, evidence goes out, and the list that the module is told
-//! bears what holds now. Only where an operator file names services to follow; never in `run`.
+//! The fleet's verdicts on zones at this dispatcher: receives verdicts, reports evidence, and adjusts the host
+//! entries for the decision module by the verdicts in effect. Used only if an operator file names control services to
+//! follow; never in `run`.
 
 use super::proxy::Proxy;
 use myrtlegauge::interface::{End, HostEntry, HostIndex, HostStatus};
@@ -7,238 +8,265 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a control service says, as it was read off its stream.
+/// A message of a control service, as parsed from its stream.
 #[derive(Clone, Debug)]
-pub enum ZoneNews {
-    /// A verdict on a zone, by its name, and how long until it takes effect.
-    Verdict { zone: String, verdict: Verdict, lead: Duration },
-    /// All that it says is known here, for so long from now on.
+pub enum ZoneUpdate {
+    /// A verdict on a zone, by the zone's name, and the time until it takes effect.
+    Verdict { zone: String, verdict: Verdict, effective_in: Duration },
+    /// The verdicts received are complete, and stay valid for this long from now.
     Lease(Duration),
 }
 
-/// What is reported of one host, of one interval.
+/// Evidence on one host in one report interval.
 #[derive(Clone, Debug, Default)]
-pub struct SeenHost {
+pub struct HostEvidence {
     pub returned: u64,
     pub errored: u64,
-    /// Of those returned, late ones that did not wait for a source.
+    /// Replies counted in `returned` that were late although the host did not wait long for its source.
     pub late: u64,
-    /// Fills asked of it as a source, by delivery service: all, and late or failed ones.
+    /// Fills requested from this host as a source, by delivery service: all of them, and those late or failed.
     pub fills: Vec<(u64, u64)>,
 }
 
-/// What this dispatcher saw in an interval, and what it holds of each zone.
+/// This dispatcher's evidence of one interval, and the verdict it holds on each zone.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneReport {
-    /// Each by its name, and the address by which it is reached from here.
-    pub hosts: Vec<(String, SocketAddr, SeenHost)>,
-    pub held: Vec<(String, Verdict)>,
-    /// GETs taken since the last report, those that were shed at once included.
-    pub taken: u64,
+    /// The evidence on each host, with the host's name and the address by which this dispatcher reaches it.
+    pub hosts: Vec<(String, SocketAddr, HostEvidence)>,
+    pub held_verdicts: Vec<(String, Verdict)>,
+    /// GETs taken since the last report, including those shed immediately.
+    pub gets_taken: u64,
 }
 
-/// How one talks with the services that it follows.
-pub struct ZonePort {
-    pub news: calloop::channel::Channel<ZoneNews>,
+/// The channel to the control services that are followed: updates in, reports out.
+pub struct ZoneChannel {
+    pub updates: calloop::channel::Channel<ZoneUpdate>,
     pub report: Box<dyn Fn(ZoneReport)>,
-    pub every: Duration,
+    pub report_interval: Duration,
 }
 
+/// The zones as this dispatcher knows them.
 pub struct Zones {
     names: Vec<String>,
-    belief: Belief,
-    own: Own,
-    /// As the module was told them last.
-    parts: Vec<f64>,
-    sheds: f64,
-    seen: Vec<SeenHost>,
-    reports_at: Duration,
-    taken: u64,
-    every: Duration,
+    fleet_verdicts: Belief,
+    local_evidence: Own,
+    /// Fraction of its traffic that each zone takes, as last passed to the decision module.
+    fractions: Vec<f64>,
+    shed_fraction: f64,
+    host_evidence: Vec<HostEvidence>,
+    next_report_at: Duration,
+    reported_gets: u64,
+    report_interval: Duration,
     report: Box<dyn Fn(ZoneReport)>,
 }
 
 impl Zones {
-    pub fn new(names: Vec<String>, every: Duration, report: Box<dyn Fn(ZoneReport)>, now: Duration) -> Self {
+    pub fn new(
+        names: Vec<String>,
+        report_interval: Duration,
+        report: Box<dyn Fn(ZoneReport)>,
+        now: Duration,
+    ) -> Self {
         let count = names.len();
         Self {
-            belief: Belief::new(count, now),
-            own: Own::new(count),
-            parts: vec![1.0; count],
+            fleet_verdicts: Belief::new(count, now),
+            local_evidence: Own::new(count),
+            fractions: vec![1.0; count],
             names,
-            sheds: 0.0,
-            seen: Vec::new(),
-            reports_at: now + every,
-            taken: 0,
-            every,
+            shed_fraction: 0.0,
+            host_evidence: Vec::new(),
+            next_report_at: now + report_interval,
+            reported_gets: 0,
+            report_interval,
             report,
         }
     }
 
-    fn part(&self, zone: usize, now: Duration) -> f64 {
-        self.belief.part(zone, now).min(self.own.part(zone, now))
+    fn fraction(&self, zone: usize, now: Duration) -> f64 {
+        self.fleet_verdicts.part(zone, now).min(self.local_evidence.part(zone, now))
     }
 
-    /// A host's entry as the module is told it: a zone that takes nothing drains, one that comes back takes a part.
-    pub fn told(&self, entry: HostEntry) -> HostEntry {
-        let part = self.parts.get(entry.zone).copied().unwrap_or(1.0);
-        let drains = part <= 0.0 && entry.status == HostStatus::Active;
-        let standing = if drains { HostStatus::Draining } else { entry.status };
-        HostEntry { status: standing, withheld_fraction: 1.0 - part, ..entry }
+    /// A host's entry as passed to the decision module: hosts of a zone that takes no traffic drain, and those of a
+    /// returning zone take a fraction.
+    pub fn adjust_entry(&self, entry: HostEntry) -> HostEntry {
+        let fraction = self.fractions.get(entry.zone).copied().unwrap_or(1.0);
+        let is_drained = fraction <= 0.0 && entry.status == HostStatus::Active;
+        let status = if is_drained { HostStatus::Draining } else { entry.status };
+        HostEntry { status, withheld_fraction: 1.0 - fraction, ..entry }
     }
 
-    /// Whether a key is of the part that the fleet sheds.
-    pub fn is_over(&self, key: u64) -> bool {
-        self.sheds > 0.0 && myrtlegauge::snapshot::is_in_key_fraction(key, OVER, self.sheds)
+    /// Whether a key is in the fraction of keys that the fleet sheds.
+    pub fn is_in_shed_fraction(&self, key: u64) -> bool {
+        self.shed_fraction > 0.0
+            && myrtlegauge::snapshot::is_in_key_fraction(key, SHED_KEY_SALT, self.shed_fraction)
     }
 
     pub fn is_unsure(&self, now: Duration) -> bool {
-        self.belief.is_unsure(now)
+        self.fleet_verdicts.is_unsure(now)
     }
 
     pub fn due(&self, now: Duration) -> Duration {
-        self.belief.due(now).min(self.own.due(now)).min(self.reports_at)
+        self.fleet_verdicts.due(now).min(self.local_evidence.due(now)).min(self.next_report_at)
     }
 
-    pub fn woke(&mut self, now: Duration) {
-        self.belief.woke(now);
+    pub fn on_resumed(&mut self, now: Duration) {
+        self.fleet_verdicts.woke(now);
     }
 
-    fn seen_of(&mut self, host: HostIndex) -> &mut SeenHost {
-        self.seen.resize(self.seen.len().max(host + 1), SeenHost::default());
-        &mut self.seen[host]
+    fn evidence_for(&mut self, host: HostIndex) -> &mut HostEvidence {
+        self.host_evidence.resize(self.host_evidence.len().max(host + 1), HostEvidence::default());
+        &mut self.host_evidence[host]
     }
 
-    /// Counts how a forward ended, for its host and for the source that it was filled from.
-    pub fn saw(
+    /// Counts the end of a forward, for its host and for its fill source.
+    pub fn record_outcome(
         &mut self,
         host: HostIndex,
         source: HostIndex,
         end: End,
-        late: bool,
-        filled: Option<(usize, bool)>,
+        is_late: bool,
+        fill: Option<(usize, bool)>,
     ) {
-        let seen = self.seen_of(host);
+        let evidence = self.evidence_for(host);
         match end {
-            End::Returned => (seen.returned, seen.late) = (seen.returned + 1, seen.late + u64::from(late)),
-            End::NoConnection | End::Reset | End::Spoilt | End::TimedOut => seen.errored += 1,
-            End::Withdrawn if late => seen.errored += 1,
+            End::Returned => {
+                (evidence.returned, evidence.late) =
+                    (evidence.returned + 1, evidence.late + u64::from(is_late))
+            }
+            End::NoConnection | End::Reset | End::Spoilt | End::TimedOut => evidence.errored += 1,
+            End::Withdrawn if is_late => evidence.errored += 1,
             End::NeverSent | End::Withdrawn => {}
-            _ => seen.returned += 1,
+            _ => evidence.returned += 1,
         }
-        if let Some((ds, bad)) = filled {
-            let fills = &mut self.seen_of(source).fills;
+        if let Some((ds, has_failed)) = fill {
+            let fills = &mut self.evidence_for(source).fills;
             fills.resize(fills.len().max(ds + 1), (0, 0));
-            fills[ds] = (fills[ds].0 + 1, fills[ds].1 + u64::from(bad));
+            fills[ds] = (fills[ds].0 + 1, fills[ds].1 + u64::from(has_failed));
         }
     }
 }
 
-/// Keeps the part that is shed apart from the parts that hosts take.
-const OVER: u64 = 0x51ed_270b_27d1_e2a5;
+/// Makes the selection of shed keys independent of the selection of keys that hosts take.
+const SHED_KEY_SALT: u64 = 0x51ed_270b_27d1_e2a5;
 
 impl Proxy {
-    /// What services said since the last turn.
-    pub fn hear_zones(&mut self) {
-        for news in std::mem::take(&mut self.zone_heard) {
-            self.zones_due = self.now;
-            self.zone_news(news);
+    /// Applies the messages received from control services since the last iteration.
+    pub fn apply_zone_updates(&mut self) {
+        for update in std::mem::take(&mut self.zone_updates) {
+            self.zones_due_at = self.now;
+            self.apply_zone_update(update);
         }
     }
 
-    /// News of zones; what they change is told to the module by `zones_moved`.
-    fn zone_news(&mut self, news: ZoneNews) {
+    /// Applies one message. The decision module gets the changes by `take_changed_zone_entries`.
+    fn apply_zone_update(&mut self, update: ZoneUpdate) {
         let (now, Some(zones)) = (self.now, &mut self.zones) else { return };
-        match news {
-            ZoneNews::Lease(left) => zones.belief.leased(now + left),
-            ZoneNews::Verdict { zone, verdict, lead } => {
-                let Some(at) = zones.names.iter().position(|name| *name == zone) else { return };
-                if zones.belief.told(at, &verdict, lead, now) {
+        match update {
+            ZoneUpdate::Lease(remaining) => zones.fleet_verdicts.leased(now + remaining),
+            ZoneUpdate::Verdict { zone, verdict, effective_in } => {
+                let Some(zone_index) = zones.names.iter().position(|name| *name == zone) else { return };
+                if zones.fleet_verdicts.told(zone_index, &verdict, effective_in, now) {
                     let Verdict { epoch, part, sheds, .. } = verdict;
-                    log::info!(zone:%, epoch, stage:? = verdict.stage, part, sheds; "zone verdict");
+                    log::info!(zone:%, epoch, stage:? = verdict.stage, part, sheds; "zone verdict received");
                 }
             }
         }
     }
 
-    /// Closes an interval of evidence where it is over; the hosts whose zones take another part from now on, as the
-    /// module is to be told them.
-    pub fn zones_moved(&mut self) -> Vec<HostEntry> {
+    /// Sends a report if the interval is over. Returns the entries, as passed to the decision module, of the hosts
+    /// whose zones take another fraction from now on.
+    pub fn take_changed_zone_entries(&mut self) -> Vec<HostEntry> {
         let now = self.now;
-        if self.zones.as_ref().is_some_and(|zones| now >= zones.reports_at) {
-            self.report_zones();
+        if self.zones.as_ref().is_some_and(|zones| now >= zones.next_report_at) {
+            self.send_zone_report();
         }
         let Some(zones) = &mut self.zones else { return Vec::new() };
-        zones.sheds = zones.belief.sheds(now);
-        let moved: Vec<usize> =
-            (0..zones.parts.len()).filter(|&zone| zones.part(zone, now) != zones.parts[zone]).collect();
-        for &zone in &moved {
-            zones.parts[zone] = zones.part(zone, now);
-            log::info!(zone:% = zones.names[zone], part = zones.parts[zone]; "zone takes");
+        zones.shed_fraction = zones.fleet_verdicts.sheds(now);
+        let changed_zones: Vec<usize> = (0..zones.fractions.len())
+            .filter(|&zone| zones.fraction(zone, now) != zones.fractions[zone])
+            .collect();
+        for &zone in &changed_zones {
+            zones.fractions[zone] = zones.fraction(zone, now);
+            log::info!(zone:% = zones.names[zone], part = zones.fractions[zone];
+                "zone takes a new fraction of its traffic");
         }
-        self.zones_due = zones.due(now);
-        if moved.is_empty() {
+        self.zones_due_at = zones.due(now);
+        if changed_zones.is_empty() {
             return Vec::new();
         }
-        let concerned =
-            |entry: &HostEntry| moved.contains(&entry.zone) && entry.status != HostStatus::Removed;
-        let entries = self.hosts.iter().filter(|host| !host.name.is_empty() && concerned(&host.entry));
+        let is_affected =
+            |entry: &HostEntry| changed_zones.contains(&entry.zone) && entry.status != HostStatus::Removed;
+        let entries = self.hosts.iter().filter(|host| !host.name.is_empty() && is_affected(&host.entry));
         let entries: Vec<_> =
-            entries.filter_map(|host| Some(self.zones.as_ref()?.told(host.entry))).collect();
+            entries.filter_map(|host| Some(self.zones.as_ref()?.adjust_entry(host.entry))).collect();
         let drained: Vec<_> = entries
             .iter()
             .filter(|entry| entry.status != HostStatus::Active)
             .map(|entry| entry.host)
             .collect();
         if !drained.is_empty() {
-            self.decide_anew(|_, out| drained.contains(&out.to.host) || drained.contains(&out.to.source));
+            self.cancel_unsent_forwards(|_, forward| {
+                drained.contains(&forward.decision.host) || drained.contains(&forward.decision.source)
+            });
         }
         entries
     }
 
-    /// Counts forwards that a host has not answered, nor anything else since, for longer than their objective: one that
-    /// is silent ends nothing until clients give up, and nothing more is sent there meanwhile.
-    fn see_silent(&mut self) {
+    /// Counts forwards as errored that are unanswered for longer than their latency objective while their connection
+    /// received nothing. Forwards at a silent host end only when clients give up, and meanwhile no more are sent
+    /// there, so without this there would be no evidence against it.
+    fn count_silent_forwards(&mut self) {
         let (now, limits) = (self.now, &self.limits);
         let Some(zones) = &mut self.zones else { return };
         for (_, link) in self.links.iter() {
-            let silent = link.out.iter().filter(|&&place| {
-                let pending = self.in_flight.peek(place);
-                let aim = limits.aim(pending.get.ds);
-                pending.out.is_some_and(|out| link.heard_at <= out.at && now - out.at > aim)
+            let unanswered = link.in_flight_gets.iter().filter(|&&get_index| {
+                let pending = self.in_flight.get(get_index);
+                let objective = limits.objective(pending.get.ds);
+                pending.forward.is_some_and(|forward| {
+                    link.received_at <= forward.sent_at && now - forward.sent_at > objective
+                })
             });
-            let count = silent.count() as u64;
+            let count = unanswered.count() as u64;
             if count > 0 {
-                zones.seen_of(link.host).errored += count;
+                zones.evidence_for(link.host).errored += count;
             }
         }
     }
 
-    fn report_zones(&mut self) {
-        self.see_silent();
+    fn send_zone_report(&mut self) {
+        self.count_silent_forwards();
         let (now, Some(zones)) = (self.now, &mut self.zones) else { return };
-        zones.reports_at = now + zones.every;
-        let mut saw = vec![Saw::default(); zones.names.len()];
+        zones.next_report_at = now + zones.report_interval;
+        let mut zone_evidence = vec![Saw::default(); zones.names.len()];
         let mut report = ZoneReport::default();
-        for (host, seen) in std::mem::take(&mut zones.seen).into_iter().enumerate() {
-            let Some(of) = self.hosts.get(host) else { continue };
-            let (all, Some(saw)) = (seen.returned + seen.errored, saw.get_mut(of.entry.zone)) else {
+        for (host, evidence) in std::mem::take(&mut zones.host_evidence).into_iter().enumerate() {
+            let Some(host_state) = self.hosts.get(host) else { continue };
+            let (answered, Some(zone)) =
+                (evidence.returned + evidence.errored, zone_evidence.get_mut(host_state.entry.zone))
+            else {
                 continue;
             };
-            if all > 0 {
-                saw.asked += 1;
-                saw.failed += u32::from(seen.errored * 2 > all);
-                saw.late += u32::from(seen.errored * 2 <= all && (seen.late + seen.errored) * 2 > all);
+            if answered > 0 {
+                zone.asked += 1;
+                zone.failed += u32::from(evidence.errored * 2 > answered);
+                zone.late += u32::from(
+                    evidence.errored * 2 <= answered && (evidence.late + evidence.errored) * 2 > answered,
+                );
             }
-            if let Some(address) = of.address.filter(|_| all > 0 || !seen.fills.is_empty()) {
-                let name = String::from_utf8_lossy(&of.name).into_owned();
-                report.hosts.push((name, address, seen));
+            if let Some(address) = host_state.address.filter(|_| answered > 0 || !evidence.fills.is_empty()) {
+                let name = String::from_utf8_lossy(&host_state.name).into_owned();
+                report.hosts.push((name, address, evidence));
             }
         }
-        zones.own.saw(&saw, now);
-        report.held =
-            zones.names.iter().enumerate().map(|(at, name)| (name.clone(), zones.belief.held(at))).collect();
-        report.taken = self.counters.taken - std::mem::replace(&mut zones.taken, self.counters.taken);
+        zones.local_evidence.saw(&zone_evidence, now);
+        report.held_verdicts = zones
+            .names
+            .iter()
+            .enumerate()
+            .map(|(zone, name)| (name.clone(), zones.fleet_verdicts.held(zone)))
+            .collect();
+        report.gets_taken =
+            self.counters.taken - std::mem::replace(&mut zones.reported_gets, self.counters.taken);
         (zones.report)(report);
     }
 }
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -4,7 +4,9 @@
 pub mod stream;
 
 use myrtlegauge_dispatcher::program;
-use myrtlegauge_dispatcher::routing::{Guards, ReplicasStartup, Room, Startup, SubscriberDefences, ZonePort};
+use myrtlegauge_dispatcher::routing::{
+    Guards, ReplicasStartup, ResourceLimits, Startup, SubscriberDefences, ZoneChannel,
+};
 use myrtlegauge_membership::driver;
 use myrtlegauge_operator::OperatorFile;
 use myrtlegauge_wire::protocol::changelog::Changes;
@@ -30,7 +32,7 @@
     let zones = if told.follow.is_empty() {
         None
     } else {
-        let (says, news) = calloop::channel::channel();
+        let (says, updates) = calloop::channel::channel();
         let following = stream::Following {
             name: told.name.clone(),
             zones: file.zones.iter().map(|zone| zone.name.clone()).collect(),
@@ -39,7 +41,7 @@
         };
         let reports = stream::start(following, says)?;
         let report = Box::new(move |report| drop(reports.send(std::sync::Arc::new(report))));
-        Some(ZonePort { news, report, every: told.reports_every })
+        Some(ZoneChannel { updates, report, report_interval: told.reports_every })
     };
     let member = told.peers.as_ref().map(|peers| driver::Startup {
         name: told.name.clone(),
@@ -59,11 +61,11 @@
     });
     let startup = Startup {
         listen: told.listen,
-        changelog: told.change_log,
-        known: Changes { last_seq: 0, results: Vec::new() },
-        facts: &file.facts,
+        change_log: told.change_log,
+        known_changes: Changes { last_seq: 0, results: Vec::new() },
+        settings: &file.facts,
         seed: fastrand::u64(..),
-        room: Room { descriptors: told.sockets, memory: told.memory_mb << 20 },
+        resource_limits: ResourceLimits { descriptors: told.sockets, memory_bytes: told.memory_mb << 20 },
         guards: Guards::ALL,
         zones,
         member,
--- a/crates/follow/src/stream.rs
+++ b/crates/follow/src/stream.rs
@@ -11,7 +11,7 @@
 use myrtlegauge_control::inbound::Told;
 use myrtlegauge_control::messages::{self, BY_HOST, ZoneLine};
 use myrtlegauge_control::shelf::Kind;
-use myrtlegauge_dispatcher::routing::{SeenHost, ZoneNews, ZoneReport};
+use myrtlegauge_dispatcher::routing::{HostEvidence, ZoneReport, ZoneUpdate};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 pub type Reports = watch::Sender<Arc<ZoneReport>>;
 
 /// Follows all services until the process ends; reports that are sent go to each of them.
-pub fn start(following: Following, says: Sender<ZoneNews>) -> Result<Reports, String> {
+pub fn start(following: Following, says: Sender<ZoneUpdate>) -> Result<Reports, String> {
     let (reports, reported) = watch::channel(Arc::new(ZoneReport::default()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime for gRPC: {e}"))?;
@@ -86,7 +86,7 @@
 }
 
 /// One stream of verdicts, to its end.
-async fn verdicts(of: &Following, to: SocketAddr, says: &Sender<ZoneNews>) -> Result<(), String> {
+async fn verdicts(of: &Following, to: SocketAddr, says: &Sender<ZoneUpdate>) -> Result<(), String> {
     let said = |status: tonic::Status| status.to_string();
     let mut client = AggregatedDiscoveryServiceClient::new(connected(to).await?);
     let (out, requests) = mpsc::channel(8);
@@ -110,10 +110,10 @@
             let Some(body) = &resource.body else { continue };
             match verdict(body) {
                 Ok((zone, line)) => {
-                    let lead = Duration::from_millis(line.from_unix_ms.saturating_sub(unix_ms()));
+                    let effective_in = Duration::from_millis(line.from_unix_ms.saturating_sub(unix_ms()));
                     heard.insert(zone.clone());
-                    let news = ZoneNews::Verdict { zone, verdict: line.verdict(), lead };
-                    says.send(news).map_err(|_| "the dispatcher ends")?;
+                    let update = ZoneUpdate::Verdict { zone, verdict: line.verdict(), effective_in };
+                    says.send(update).map_err(|_| "the dispatcher ends")?;
                 }
                 Err(why) => refused = Some(why.to_owned()),
             }
@@ -123,7 +123,7 @@
         if let (Some(ttl), Some(written), true) = (ttl, written_at(&nonce), heard.len() == of.zones.len()) {
             let old = Duration::from_millis(unix_ms().saturating_sub(written));
             let left = ttl.saturating_sub(old);
-            says.send(ZoneNews::Lease(left)).map_err(|_| "the dispatcher ends")?;
+            says.send(ZoneUpdate::Lease(left)).map_err(|_| "the dispatcher ends")?;
         }
         let error_detail = refused.map(|message| envoy_types::pb::google::rpc::Status {
             code: 3,
@@ -172,10 +172,10 @@
 }
 
 fn node(of: &Following, report: &ZoneReport) -> Node {
-    let held = report.held.iter().map(|(zone, verdict)| (zone.as_str(), ZoneLine::of(verdict, 0)));
+    let held = report.held_verdicts.iter().map(|(zone, verdict)| (zone.as_str(), ZoneLine::of(verdict, 0)));
     Node {
         id: of.name.clone(),
-        metadata: Some(messages::zones_held(held, report.taken)),
+        metadata: Some(messages::zones_held(held, report.gets_taken)),
         ..Default::default()
     }
 }
@@ -187,7 +187,7 @@
         total_metric_value: total as f64,
     };
     let stats = report.hosts.iter().map(|(name, address, seen)| {
-        let SeenHost { returned, errored, late, fills } = seen;
+        let HostEvidence { returned, errored, late, fills } = seen;
         let fills =
             fills.iter().enumerate().filter(|(_, (all, _))| *all > 0).filter_map(|(ds, (all, bad))| {
                 Some(metric(format!("fills/{}", of.services.get(ds)?), *all, *bad))
--- a/crates/lab/src/capacity/hollow/dispatcher.rs
+++ b/crates/lab/src/capacity/hollow/dispatcher.rs
@@ -11,7 +11,7 @@
 use myrtlegauge::interface::{
     DecisionSink, Forward, GetIndex, HostEntry, HostStatus, ListUpdate, PurgeKey, Settings,
 };
-use myrtlegauge_dispatcher::routing::replicas::{Change, Doubt, Replicas};
+use myrtlegauge_dispatcher::routing::replicas::{Change, PurgeUncertainty, ReplicaClient};
 use myrtlegauge_dispatcher::routing::{ReplicaKey, ReplicasStartup, SubscriberDefences};
 use myrtlegauge_membership::driver::{self, Member};
 use myrtlegauge_replication::{Purge, PurgeTarget};
@@ -90,7 +90,7 @@
     ready: bool,
     feed_ready: bool,
     /// Polled in place of the change log, where there are some.
-    replicas: Option<Replicas<HollowDispatcher>>,
+    replicas: Option<ReplicaClient<HollowDispatcher>>,
     ready_replicas: Vec<ReplicaKey>,
     shared: Box<[u8]>,
     wake_at: Duration,
@@ -204,7 +204,7 @@
     config: &HollowConfig,
     start: &HollowStart,
     clock: &Clock,
-) -> Result<Option<Replicas<HollowDispatcher>>, String> {
+) -> Result<Option<ReplicaClient<HollowDispatcher>>, String> {
     let at = |number: usize| -> Option<SocketAddr> {
         let place = number.checked_rem(config.replicas.len())?;
         config.replicas.get(place).copied()
@@ -219,7 +219,7 @@
         defences: SubscriberDefences::default(),
     };
     let now = clock.now();
-    Replicas::new(&told, Who::Replica, clock.unix_ms(now), now).map(Some).map_err(|e| e.to_string())
+    ReplicaClient::new(&told, Who::Replica, clock.unix_ms(now), now).map(Some).map_err(|e| e.to_string())
 }
 
 fn membership(
@@ -301,12 +301,14 @@
         if self.ready || !self.ready_replicas.is_empty() || self.sharers.is_some() {
             return Duration::ZERO;
         }
-        let news = self.replicas.as_ref().map_or(self.feed.deadline, |replicas| replicas.due(self.now));
+        let news = self.replicas.as_ref().map_or(self.feed.deadline, |replicas| replicas.deadline(self.now));
         self.wake_at.min(self.tidy_at).min(news)
     }
 
     fn has_news(&self) -> bool {
-        let is_turning = |replicas: &Replicas<_>| replicas.has_news() || replicas.is_turning(self.now);
+        let is_turning = |replicas: &ReplicaClient<_>| {
+            replicas.has_records() || replicas.has_uncertainty_changed(self.now)
+        };
         let has_records = self.replicas.as_ref().is_some_and(is_turning);
         self.feed_ready || has_records || self.sharers.is_some() || self.now >= self.wake_at
     }
@@ -336,8 +338,8 @@
             self.ready_replicas.extend(has_more.then_some(key));
         }
         // A poll that was lost is asked again by the client itself.
-        while replicas.hear(*now).is_some() {}
-        replicas.ask(hub, accounts, *now);
+        while replicas.next_result(*now).is_some() {}
+        replicas.send_polls(hub, accounts, *now);
     }
 
     fn next_replicated(&mut self) -> Option<Change> {
@@ -347,8 +349,9 @@
     /// Whether copies are in doubt, where replicas are polled.
     fn look_for_doubt(&mut self) {
         let Some(replicas) = &mut self.replicas else { return };
-        let doubt = replicas.in_doubt(self.now);
-        self.doubted = matches!(doubt, Doubt::Begins | Doubt::Lasts).then_some(self.now);
+        let doubt = replicas.update_uncertainty(self.now);
+        self.doubted =
+            matches!(doubt, PurgeUncertainty::Began | PurgeUncertainty::Ongoing).then_some(self.now);
     }
 
     fn next_changes(&mut self) -> Option<Bytes> {
--- a/crates/lab/src/fleet/zones.rs
+++ b/crates/lab/src/fleet/zones.rs
@@ -12,7 +12,7 @@
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::load_stats::v3::load_reporting_service_client::LoadReportingServiceClient;
 use myrtlegauge_control::messages::address_of;
-use myrtlegauge_dispatcher::routing::ZoneNews;
+use myrtlegauge_dispatcher::routing::ZoneUpdate;
 use myrtlegauge_follow::stream::{self, Following};
 use myrtlegauge_zones::Verdict;
 use std::fmt::Write;
@@ -153,7 +153,7 @@
     std::thread::spawn(move || {
         let _reports = reports;
         while let Ok(news) = news.recv() {
-            let ZoneNews::Verdict { zone, verdict, .. } = news else { continue };
+            let ZoneUpdate::Verdict { zone, verdict, .. } = news else { continue };
             let zone = zone.trim_start_matches("edge-").parse().unwrap_or(0);
             let at = began.elapsed();
             notes.lock().expect("no holder panics").push(ObservedVerdict { at, zone, verdict });
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use calloop::EventLoop;
 use myrtlegauge::decide::Router;
 use myrtlegauge::interface::*;
-use myrtlegauge_dispatcher::routing::{Dispatcher, Guards, Room, Rule, Startup};
+use myrtlegauge_dispatcher::routing::{Dispatcher, Guards, ResourceLimits, Rule, Startup};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::collections::BTreeMap;
@@ -253,7 +253,7 @@
     }
 }
 
-pub const ROOM: Room = Room { descriptors: 1024, memory: 192 << 20 };
+pub const ROOM: ResourceLimits = ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 };
 
 /// The whole list, as a start is told it.
 fn listing(hosts: &[StandIn]) -> Value {
@@ -268,14 +268,14 @@
         Self::with(settings(), ROOM)
     }
 
-    pub fn with(settings: Value, room: Room) -> Self {
+    pub fn with(settings: Value, room: ResourceLimits) -> Self {
         let hosts: Vec<_> = HOSTS.iter().map(|name| StandIn::new((*name).into())).collect();
         let known = listing(&hosts);
         Self::over(hosts, settings, room, &known)
     }
 
     /// One that is told these events at its start.
-    pub fn knowing(settings: Value, room: Room, known: &Value) -> Self {
+    pub fn knowing(settings: Value, room: ResourceLimits, known: &Value) -> Self {
         Self::over(HOSTS.iter().map(|name| StandIn::new((*name).into())).collect(), settings, room, known)
     }
 
@@ -286,11 +286,17 @@
         Self::guarded(hosts, settings, ROOM, &known, Guards::without(guard))
     }
 
-    fn over(hosts: Vec<StandIn>, settings: Value, room: Room, known: &Value) -> Self {
+    fn over(hosts: Vec<StandIn>, settings: Value, room: ResourceLimits, known: &Value) -> Self {
         Self::guarded(hosts, settings, room, known, Guards::ALL)
     }
 
-    fn guarded(hosts: Vec<StandIn>, settings: Value, room: Room, known: &Value, guards: Guards) -> Self {
+    fn guarded(
+        hosts: Vec<StandIn>,
+        settings: Value,
+        room: ResourceLimits,
+        known: &Value,
+        guards: Guards,
+    ) -> Self {
         let known = known.to_string();
         let changelog = StandIn::new("change log".into());
         let turns = EventLoop::try_new().unwrap();
@@ -299,11 +305,11 @@
             member: None,
             replicas: None,
             listen: ([127, 0, 0, 1], 0).into(),
-            changelog: changelog.address,
-            known: serde_json::from_str(&known).unwrap(),
-            facts: settings.as_object().unwrap(),
+            change_log: changelog.address,
+            known_changes: serde_json::from_str(&known).unwrap(),
+            settings: settings.as_object().unwrap(),
             seed: 7,
-            room,
+            resource_limits: room,
             guards,
         };
         let dispatcher = Dispatcher::start(turns.handle(), startup).unwrap();
@@ -501,7 +507,7 @@
         }
         // The rest goes out after a turn that sees the first.
         self.turns.dispatch(Some(ms(1)), &mut self.dispatcher).unwrap();
-        self.dispatcher.turn();
+        self.dispatcher.process_events();
     }
 
     /// Whether a host reads nothing for now, or has begun only lately to read what was written before.
@@ -603,7 +609,7 @@
     pub fn move_changelog(&mut self) {
         let old = std::mem::replace(&mut self.changelog, StandIn::new("change log".into()));
         self.hosts.push(StandIn { name: "old change log".into(), ..old });
-        self.dispatcher.follow(Some(self.changelog.address));
+        self.dispatcher.set_change_log_address(Some(self.changelog.address));
     }
 
     /// The change log refuses connections from now on, or takes them again at the same address.
@@ -661,9 +667,9 @@
 
     /// A turn in which something happens after the loop has told what is ready.
     pub fn turn_with(&mut self, happens: impl FnOnce(&mut Self)) {
-        self.turns.dispatch(ms(1).min(self.dispatcher.patience()), &mut self.dispatcher).unwrap();
+        self.turns.dispatch(ms(1).min(self.dispatcher.poll_timeout()), &mut self.dispatcher).unwrap();
         happens(self);
-        self.dispatcher.turn();
+        self.dispatcher.process_events();
         let Self { hosts, changelog, clients, last, deaf, trace, .. } = self;
         for host in hosts.iter_mut().chain([changelog]) {
             while let Some(Ok((stream, _))) = host.listener.as_ref().map(TcpListener::accept) {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::{HOSTS, Rig, ms, record, request, settings};
-use myrtlegauge_dispatcher::routing::Room;
+use myrtlegauge_dispatcher::routing::ResourceLimits;
 use serde_json::{Value, json};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const ROOMY: Room = Room { descriptors: 1024, memory: 192 << 20 };
+const ROOMY: ResourceLimits = ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 };
 
 /// A request as a client writes it, with `body`.
 fn asked(number: u16, ds: &str, body: &[u8]) -> Vec<u8> {
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_flood_hides_nobody_elses_end_and_is_refused() {
-    let mut rig = Rig::with(settings(), Room { descriptors: 1024, memory: 4 << 20 });
+    let mut rig = Rig::with(settings(), ResourceLimits { descriptors: 1024, memory_bytes: 4 << 20 });
     rig.get(1, "video", &[]);
     rig.until(1);
     let first = rig.last.clone();
@@ -174,7 +174,7 @@
         }
     }
     rig.settle(100);
-    let most = rig.dispatcher.buffered();
+    let most = rig.dispatcher.buffered_bytes();
     assert!(most < 2 << 20, "{most} bytes in buffers");
     rig.write(0, &abort(1));
     rig.settle(50);
@@ -190,7 +190,7 @@
 #[test]
 fn a_flood_on_the_connection_that_makes_room_is_read_no_further_than_a_request() {
     for piece in [vec![0; 60_000], record(5, 9, &[b'x'; 60_000])] {
-        let mut rig = Rig::with(settings(), Room { descriptors: 6, memory: 48 << 20 });
+        let mut rig = Rig::with(settings(), ResourceLimits { descriptors: 6, memory_bytes: 48 << 20 });
         let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
         for client in [rig.client(), rig.client()] {
             rig.write(client, &health);
@@ -202,7 +202,7 @@
         rig.write(new, &health);
         rig.until(1);
         assert!(rig.trace.contains(&format!("client {new} reads 1: Status: 200 OK")), "{}", rig.trace);
-        let peak = rig.dispatcher.buffered_peak();
+        let peak = rig.dispatcher.peak_buffered_bytes();
         assert!(peak < 4 << 20, "{peak} bytes in buffers");
         rig.settle(100);
         drop(rig);
@@ -339,7 +339,7 @@
     rig.get(1, "video", &[]);
     rig.until(1);
     rig.dispatcher.stop();
-    rig.dispatcher.follow(None);
+    rig.dispatcher.set_change_log_address(None);
     rig.get(2, "video", &[]);
     rig.until(1);
     for number in [1, 2] {
@@ -396,12 +396,12 @@
     rig.close(&host, false);
     sleep(ms(100));
     ended(&mut rig, 100);
-    assert_eq!((rig.dispatcher.clients(), rig.dispatcher.buffered()), (0, 0));
+    assert_eq!((rig.dispatcher.client_connections(), rig.dispatcher.buffered_bytes()), (0, 0));
 }
 
 #[test]
 fn a_request_that_came_on_the_connection_idle_for_longest_is_answered() {
-    let mut rig = Rig::with(settings(), Room { descriptors: 6, memory: 192 << 20 });
+    let mut rig = Rig::with(settings(), ResourceLimits { descriptors: 6, memory_bytes: 192 << 20 });
     let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
     for client in [rig.client(), rig.client(), 0] {
         rig.write(client, &health);
@@ -417,7 +417,7 @@
 
 #[test]
 fn what_crosses_the_close_of_an_idle_connection_resets_nothing() {
-    let mut rig = Rig::with(settings(), Room { descriptors: 40, memory: 192 << 20 });
+    let mut rig = Rig::with(settings(), ResourceLimits { descriptors: 40, memory_bytes: 192 << 20 });
     rig.rest(0);
     let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
     rig.write(0, &health);
--- a/tests/generated.rs
+++ b/tests/generated.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{HOSTS, Rig, asked, ms, record, settings};
-use myrtlegauge_dispatcher::routing::Room;
+use myrtlegauge_dispatcher::routing::ResourceLimits;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use serde_json::json;
@@ -98,7 +98,7 @@
 
 impl Play {
     fn new() -> Self {
-        let mut rig = Rig::with(settings(), Room { descriptors: 1024, memory: 192 << 20 });
+        let mut rig = Rig::with(settings(), ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 });
         let askers = (0..3).map(|_| Asker { client: rig.client(), ..Asker::default() }).collect();
         let (left, drained, owed) = Default::default();
         Self { rig, askers, left, number: 0, seen: 0, drained, seq: 1, owed }
@@ -265,7 +265,10 @@
             self.rig.turn();
         }
         prop_assert!(self.rig.dispatcher.is_done(), "{}", self.rig.trace);
-        prop_assert_eq!((self.rig.dispatcher.buffered(), self.rig.dispatcher.clients()), (0, 0));
+        prop_assert_eq!(
+            (self.rig.dispatcher.buffered_bytes(), self.rig.dispatcher.client_connections()),
+            (0, 0)
+        );
         Ok(())
     }
 }
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -4,14 +4,14 @@
 mod common;
 
 use common::{HOSTS, Rig, asked, ms, request, settings};
-use myrtlegauge_dispatcher::routing::Room;
+use myrtlegauge_dispatcher::routing::ResourceLimits;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
 /// What a test does to its rig.
 type Act<'a> = &'a dyn Fn(&mut Rig);
 
-const ROOMY: Room = Room { descriptors: 1024, memory: 192 << 20 };
+const ROOMY: ResourceLimits = ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 };
 /// A poll waits for 0.5 s, a silent one is left 0.25 s later, and the next begins 0.05 s after that; the rest is a busy machine's.
 const SILENCE_FOUND_WITHIN: Duration = Duration::from_millis(1000);
 
@@ -151,7 +151,7 @@
     rig.changes(&drains(2, &["cache-2"]));
     rig.polled();
     // One that can't be read changes nothing.
-    rig.dispatcher.follow(None);
+    rig.dispatcher.set_change_log_address(None);
     let told = rig.trace.len();
     get_many(&mut rig, 1, 20);
     assert!(!rig.has_read_since("cache-2", told), "{}", rig.trace);
@@ -394,7 +394,7 @@
                 rig.dispatcher.stop();
                 let took = ended(&mut rig, deadline + 700);
                 assert!(took < ms(1400), "{who}, {deadline} ms: {took:?}");
-                assert_eq!(rig.dispatcher.taken(), 0);
+                assert_eq!(rig.dispatcher.gets_taken(), 0);
             }
         }
     }
@@ -504,7 +504,7 @@
     rig.settle(200);
     let after: Vec<usize> = (1..=BURST).map(|number| rig.all_reads_of(number)).collect();
     assert_eq!(before, after, "{}", rig.trace);
-    assert_eq!(rig.dispatcher.clients(), 1);
+    assert_eq!(rig.dispatcher.client_connections(), 1);
     get_many(&mut rig, 100, 3);
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Rig, ms, request, settings};
-use myrtlegauge_dispatcher::routing::Room;
+use myrtlegauge_dispatcher::routing::ResourceLimits;
 use serde_json::{Value, json};
 use std::time::Instant;
 
@@ -62,7 +62,8 @@
     for _ in 0..12 {
         let (told, classes) = drawn(&mut chance);
         let longest = classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
-        let room = Room { descriptors: [64, 256, 1024][chance.usize(0..3)], memory: 32 << 20 };
+        let room =
+            ResourceLimits { descriptors: [64, 256, 1024][chance.usize(0..3)], memory_bytes: 32 << 20 };
         let mut rig = Rig::with(told.clone(), room);
         for (at, class) in classes.iter().enumerate() {
             let number = at as u16 + 1;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -5,7 +5,7 @@
 use common::{HOSTS, Rig, record, request, settings};
 use insta::assert_snapshot;
 use myrtlegauge_dispatcher::program::{ConfigFile, moved};
-use myrtlegauge_dispatcher::routing::{Dispatcher, Room};
+use myrtlegauge_dispatcher::routing::{Dispatcher, ResourceLimits};
 use serde_json::json;
 
 #[test]
@@ -129,7 +129,7 @@
 fn what_waits_for_a_connection_is_decided_anew_when_its_host_drains() {
     let mut told = settings();
     told["limits"]["connect_timeout_ms"] = json!(60_000.0);
-    let mut rig = Rig::with(told, Room { descriptors: 1024, memory: 192 << 20 });
+    let mut rig = Rig::with(told, ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 });
     rig.clog("cache-0");
     rig.get(1, "video", &[]);
     rig.settle(100);
@@ -259,7 +259,7 @@
 
 #[test]
 fn a_client_that_says_nothing_whole_is_answered_or_closed_in_time() {
-    let mut rig = Rig::with(settings(), Room { descriptors: 8, memory: 192 << 20 });
+    let mut rig = Rig::with(settings(), ResourceLimits { descriptors: 8, memory_bytes: 192 << 20 });
     let params = [("SCRIPT_NAME", "/rpc/video"), ("HTTP_REQUEST_ID", "0000000000000001")];
     rig.say("the id of a GET in hand, for another object");
     rig.get(1, "video", &[]);
@@ -391,7 +391,7 @@
 
 #[test]
 fn a_client_that_does_not_read_does_not_grow_memory() {
-    let mut rig = Rig::with(settings(), Room { descriptors: 1024, memory: 4 << 20 });
+    let mut rig = Rig::with(settings(), ResourceLimits { descriptors: 1024, memory_bytes: 4 << 20 });
     rig.deaf = true;
     let mut read_by = Vec::new();
     for number in 1..=31 {
@@ -404,17 +404,17 @@
         rig.answer(number, "200", "why=TCP_HIT", &"x".repeat(240_000));
     }
     rig.settle(200);
-    let most = rig.dispatcher.buffered();
+    let most = rig.dispatcher.buffered_bytes();
     assert!(most < 2 << 20, "{most} bytes in buffers");
     rig.deaf = false;
     rig.until(31);
     assert_eq!(rig.trace.matches("240086 bytes").count(), 31, "{}", rig.trace);
-    assert_eq!(rig.dispatcher.buffered(), 0, "all has gone out");
+    assert_eq!(rig.dispatcher.buffered_bytes(), 0, "all has gone out");
 }
 
 #[test]
 fn a_new_client_takes_the_place_of_the_one_idle_for_longest() {
-    let mut rig = Rig::with(settings(), Room { descriptors: 4, memory: 192 << 20 });
+    let mut rig = Rig::with(settings(), ResourceLimits { descriptors: 4, memory_bytes: 192 << 20 });
     rig.get(1, "video", &[]);
     rig.until(1);
     let params = [("SCRIPT_NAME", "/health")];
@@ -457,7 +457,7 @@
     for class in told["classes"].as_array_mut().unwrap() {
         class["deadline_ms"] = json!(300.0);
     }
-    let mut rig = Rig::with(told, Room { descriptors: 1024, memory: 192 << 20 });
+    let mut rig = Rig::with(told, ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 });
     rig.get(1, "video", &[]);
     rig.until(1);
     let first = rig.last.clone();
@@ -478,7 +478,7 @@
         rig.answer(number, "200", "why=TCP_HIT", "the bytes");
         rig.until(1);
     }
-    assert_eq!(rig.dispatcher.hosts(), HOSTS.len());
+    assert_eq!(rig.dispatcher.host_slots(), HOSTS.len());
     assert_snapshot!(rig.trace);
 }
 
