--- a/crates/dispatcher/src/routing/news.rs
+++ b/crates/dispatcher/src/routing/news.rs
@@ -102,6 +102,7 @@
         }
     }
 
+    /// The last sequence number that was applied.
     pub fn last_change_seq(&self) -> u64 {
         self.change_log.last_seq
     }
@@ -176,6 +177,7 @@
         }
     }
 
+    /// Records that a host's process ended at a time, by this evidence.
     fn record_process_end(&mut self, host: HostIndex, at: Duration, evidence: EndEvidence) {
         self.hosts[host].process_ended_at = Some(at);
         self.ended_processes.push((host, at, evidence));
@@ -196,6 +198,7 @@
         is_new
     }
 
+    /// Skips changes up to a sequence number.
     pub fn skip_changes_up_to(&mut self, last_seq: u64) {
         self.change_log.last_seq = self.change_log.last_seq.max(last_seq);
     }
--- a/crates/dispatcher/src/routing/proxy.rs
+++ b/crates/dispatcher/src/routing/proxy.rs
@@ -507,7 +507,7 @@
         let is_serving = self.lifecycle.state() == State::Serving;
         self.has_host_list
             && is_serving
-            && !self.zones.as_ref().is_some_and(|zones| zones.is_unsure(self.now))
+            && !self.zones.as_ref().is_some_and(|zones| zones.are_verdicts_uncertain(self.now))
     }
 
     /// Starts the graceful shutdown.
--- a/crates/dispatcher/src/routing/replicas.rs
+++ b/crates/dispatcher/src/routing/replicas.rs
@@ -40,7 +40,7 @@
 /// Identifies one of the two replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaKey {
-    /// The one that is polled while it answers.
+    /// The replica that is polled while it answers.
     Primary,
     /// The replica that is polled while the primary does not answer.
     Fallback,
--- a/crates/dispatcher/src/routing/zones.rs
+++ b/crates/dispatcher/src/routing/zones.rs
@@ -82,6 +82,7 @@
         }
     }
 
+    /// The fraction of its traffic that a zone takes now: the lower of the fleet's verdict and the local evidence.
     fn fraction(&self, zone: usize, now: Duration) -> f64 {
         self.fleet_verdicts.part(zone, now).min(self.local_evidence.part(zone, now))
     }
@@ -101,18 +102,22 @@
             && myrtlegauge::snapshot::is_in_key_fraction(key, SHED_KEY_SALT, self.shed_fraction)
     }
 
-    pub fn is_unsure(&self, now: Duration) -> bool {
+    /// Whether the verdicts may be outdated after a pause of the process.
+    pub fn are_verdicts_uncertain(&self, now: Duration) -> bool {
         self.fleet_verdicts.is_unsure(now)
     }
 
-    pub fn due(&self, now: Duration) -> Duration {
+    /// The next time at which the verdicts in effect change without an update, or a report is due.
+    pub fn next_deadline(&self, now: Duration) -> Duration {
         self.fleet_verdicts.due(now).min(self.local_evidence.due(now)).min(self.next_report_at)
     }
 
+    /// Records that the process has resumed after a pause, so that verdicts may have been missed.
     pub fn on_resumed(&mut self, now: Duration) {
         self.fleet_verdicts.woke(now);
     }
 
+    /// The evidence on a host in the current interval.
     fn evidence_for(&mut self, host: HostIndex) -> &mut HostEvidence {
         self.host_evidence.resize(self.host_evidence.len().max(host + 1), HostEvidence::default());
         &mut self.host_evidence[host]
@@ -190,7 +195,7 @@
             log::info!(zone:% = zones.names[zone], part = zones.fractions[zone];
                 "zone takes a new fraction of its traffic");
         }
-        self.zones_due_at = zones.due(now);
+        self.zones_due_at = zones.next_deadline(now);
         if changed_zones.is_empty() {
             return Vec::new();
         }
@@ -233,6 +238,7 @@
         }
     }
 
+    /// Closes the interval: updates the local evidence on zones and sends a report.
     fn send_zone_report(&mut self) {
         self.count_silent_forwards();
         let (now, Some(zones)) = (self.now, &mut self.zones) else { return };
