--- a/crates/dispatcher/src/program/mod.rs
+++ b/crates/dispatcher/src/program/mod.rs
@@ -67,9 +67,9 @@
     log::info!("{name} listens on {address}");
     while !dispatcher.is_done() {
         event_loop
-            .dispatch(dispatcher.patience(), &mut dispatcher)
+            .dispatch(dispatcher.poll_timeout(), &mut dispatcher)
             .map_err(|error| format!("the event loop failed: {error}"))?;
-        dispatcher.turn();
+        dispatcher.process_events();
     }
     report(&dispatcher);
     Ok(())
@@ -81,11 +81,11 @@
         Ok(changelog) => log::info!("configuration reloaded, following the change log at {changelog}"),
         Err(error) => log::error!("configuration not reloaded, keeping the previous one: {error}"),
     }
-    dispatcher.follow(reloaded.ok());
+    dispatcher.set_change_log_address(reloaded.ok());
 }
 
 /// Logs the counters and the resource usage of the process.
 fn report(dispatcher: &Dispatcher) {
     dispatcher.report();
-    log::info!("{}", usage::summary(dispatcher.taken()));
+    log::info!("{}", usage::summary(dispatcher.gets_taken()));
 }
--- a/crates/dispatcher/src/program/start.rs
+++ b/crates/dispatcher/src/program/start.rs
@@ -1,6 +1,6 @@
 //! The configuration file of the dispatcher: its fields, and which of them a reload may change.
 
-use crate::routing::{Guards, Room, Startup};
+use crate::routing::{Guards, ResourceLimits, Startup};
 use myrtlegauge::interface::Settings;
 use myrtlegauge_wire::protocol::changelog::Changes;
 use serde::Deserialize;
@@ -72,17 +72,17 @@
             .map_err(|error| format!("{PATH_VARIABLE}: known: {error}"))?;
         Ok(Startup {
             listen: parse_address("listen", &self.listen)?,
-            changelog: parse_address("changelog", &self.changelog)?,
-            known,
-            facts: &self.settings,
+            change_log: parse_address("changelog", &self.changelog)?,
+            known_changes: known,
+            settings: &self.settings,
             seed: seed.map_err(|_| format!("{PATH_VARIABLE}: seed {:?} is not hexadecimal", self.seed))?,
             guards: Guards::ALL,
             zones: None,
             member: None,
             replicas: None,
-            room: Room {
+            resource_limits: ResourceLimits {
                 descriptors: self.limits.sockets,
-                memory: (self.limits.memory_mb * 1024.0 * 1024.0) as usize,
+                memory_bytes: (self.limits.memory_mb * 1024.0 * 1024.0) as usize,
             },
         })
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use calloop::EventLoop;
 use myrtlegauge::decide::Router;
 use myrtlegauge::interface::*;
-use myrtlegauge_dispatcher::routing::{Dispatcher, Guards, Room, Rule, Startup};
+use myrtlegauge_dispatcher::routing::{Dispatcher, Guards, ResourceLimits, Rule, Startup};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::collections::BTreeMap;
@@ -263,7 +263,7 @@
 }
 
 /// The limits of a rig whose test does not set its own.
-pub const DEFAULT_LIMITS: Room = Room { descriptors: 1024, memory: 192 << 20 };
+pub const DEFAULT_LIMITS: ResourceLimits = ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 };
 
 /// The event that gives a starting dispatcher the full host list.
 fn full_host_list(hosts: &[StubServer]) -> Value {
@@ -281,14 +281,14 @@
     }
 
     /// Starts the dispatcher with these settings and limits, and the full host list already known.
-    pub fn with_settings(settings: Value, limits: Room) -> Self {
+    pub fn with_settings(settings: Value, limits: ResourceLimits) -> Self {
         let hosts: Vec<_> = HOSTS.iter().map(|name| StubServer::new((*name).into())).collect();
         let known = full_host_list(&hosts);
         Self::with_all_guards(hosts, settings, limits, &known)
     }
 
     /// Starts the dispatcher with these change log events as already known.
-    pub fn with_known_events(settings: Value, limits: Room, known: &Value) -> Self {
+    pub fn with_known_events(settings: Value, limits: ResourceLimits, known: &Value) -> Self {
         Self::with_all_guards(
             HOSTS.iter().map(|name| StubServer::new((*name).into())).collect(),
             settings,
@@ -304,11 +304,22 @@
         Self::start(hosts, settings, DEFAULT_LIMITS, &known, Guards::without(guard))
     }
 
-    fn with_all_guards(hosts: Vec<StubServer>, settings: Value, limits: Room, known: &Value) -> Self {
+    fn with_all_guards(
+        hosts: Vec<StubServer>,
+        settings: Value,
+        limits: ResourceLimits,
+        known: &Value,
+    ) -> Self {
         Self::start(hosts, settings, limits, known, Guards::ALL)
     }
 
-    fn start(hosts: Vec<StubServer>, settings: Value, limits: Room, known: &Value, guards: Guards) -> Self {
+    fn start(
+        hosts: Vec<StubServer>,
+        settings: Value,
+        limits: ResourceLimits,
+        known: &Value,
+        guards: Guards,
+    ) -> Self {
         let known = known.to_string();
         let changelog = StubServer::new("change log".into());
         let event_loop = EventLoop::try_new().unwrap();
@@ -317,11 +328,11 @@
             member: None,
             replicas: None,
             listen: ([127, 0, 0, 1], 0).into(),
-            changelog: changelog.address,
-            known: serde_json::from_str(&known).unwrap(),
-            facts: settings.as_object().unwrap(),
+            change_log: changelog.address,
+            known_changes: serde_json::from_str(&known).unwrap(),
+            settings: settings.as_object().unwrap(),
             seed: 7,
-            room: limits,
+            resource_limits: limits,
             guards,
         };
         let dispatcher = Dispatcher::start(event_loop.handle(), startup).unwrap();
@@ -543,7 +554,7 @@
         }
         // The second half goes out after a turn in which the dispatcher reads the first.
         self.event_loop.dispatch(Some(ms(1)), &mut self.dispatcher).unwrap();
-        self.dispatcher.turn();
+        self.dispatcher.process_events();
     }
 
     /// Whether a host is not reading, or began to read again less than 50 ms ago and may still read earlier requests.
@@ -650,7 +661,7 @@
     pub fn move_changelog(&mut self) {
         let old = std::mem::replace(&mut self.changelog, StubServer::new("change log".into()));
         self.hosts.push(StubServer { name: "old change log".into(), ..old });
-        self.dispatcher.follow(Some(self.changelog.address));
+        self.dispatcher.set_change_log_address(Some(self.changelog.address));
     }
 
     /// Makes the change log refuse connections, or accept them again at the same address.
@@ -711,9 +722,9 @@
 
     /// Runs a turn with an action between the event loop's report of ready sockets and the dispatcher's own turn.
     pub fn turn_with(&mut self, action: impl FnOnce(&mut Self)) {
-        self.event_loop.dispatch(ms(1).min(self.dispatcher.patience()), &mut self.dispatcher).unwrap();
+        self.event_loop.dispatch(ms(1).min(self.dispatcher.poll_timeout()), &mut self.dispatcher).unwrap();
         action(self);
-        self.dispatcher.turn();
+        self.dispatcher.process_events();
         let Self { hosts, changelog, clients, last_reader, clients_paused, trace, .. } = self;
         for host in hosts.iter_mut().chain([changelog]) {
             while let Some(Ok((socket, _))) = host.listener.as_ref().map(TcpListener::accept) {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::{DispatcherRig, HOSTS, ms, record, request, settings};
-use myrtlegauge_dispatcher::routing::Room;
+use myrtlegauge_dispatcher::routing::ResourceLimits;
 use serde_json::{Value, json};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const AMPLE_LIMITS: Room = Room { descriptors: 1024, memory: 192 << 20 };
+const AMPLE_LIMITS: ResourceLimits = ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 };
 
 /// A FastCGI request with default parameters and `body`.
 fn object_request(number: u16, ds: &str, body: &[u8]) -> Vec<u8> {
@@ -169,7 +169,8 @@
 
 #[test]
 fn flooding_clients_are_refused_and_do_not_delay_the_abort_of_another() {
-    let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 1024, memory: 4 << 20 });
+    let mut rig =
+        DispatcherRig::with_settings(settings(), ResourceLimits { descriptors: 1024, memory_bytes: 4 << 20 });
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
@@ -182,7 +183,7 @@
         }
     }
     rig.run_for_ms(100);
-    let buffered = rig.dispatcher.buffered();
+    let buffered = rig.dispatcher.buffered_bytes();
     assert!(buffered < 2 << 20, "{buffered} bytes in buffers");
     rig.write(0, &abort(1));
     rig.run_for_ms(50);
@@ -198,7 +199,10 @@
 #[test]
 fn a_flooding_client_closed_for_a_new_one_is_read_no_further_than_a_request() {
     for piece in [vec![0; 60_000], record(5, 9, &[b'x'; 60_000])] {
-        let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 6, memory: 48 << 20 });
+        let mut rig = DispatcherRig::with_settings(
+            settings(),
+            ResourceLimits { descriptors: 6, memory_bytes: 48 << 20 },
+        );
         let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
         for client in [rig.connect_client(), rig.connect_client()] {
             rig.write(client, &health);
@@ -210,7 +214,7 @@
         rig.write(new, &health);
         rig.wait_for_lines(1);
         assert!(rig.trace.contains(&format!("client {new} reads 1: Status: 200 OK")), "{}", rig.trace);
-        let peak = rig.dispatcher.buffered_peak();
+        let peak = rig.dispatcher.peak_buffered_bytes();
         assert!(peak < 4 << 20, "{peak} bytes in buffers");
         rig.run_for_ms(100);
         drop(rig);
@@ -356,7 +360,7 @@
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     rig.dispatcher.stop();
-    rig.dispatcher.follow(None);
+    rig.dispatcher.set_change_log_address(None);
     rig.send_get(2, "video", &[]);
     rig.wait_for_lines(1);
     for number in [1, 2] {
@@ -413,12 +417,13 @@
     rig.close_host(&host, false);
     sleep(ms(100));
     wait_until_done(&mut rig, 100);
-    assert_eq!((rig.dispatcher.clients(), rig.dispatcher.buffered()), (0, 0));
+    assert_eq!((rig.dispatcher.client_connections(), rig.dispatcher.buffered_bytes()), (0, 0));
 }
 
 #[test]
 fn a_request_already_received_on_the_connection_idle_for_longest_is_answered() {
-    let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 6, memory: 192 << 20 });
+    let mut rig =
+        DispatcherRig::with_settings(settings(), ResourceLimits { descriptors: 6, memory_bytes: 192 << 20 });
     let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
     for client in [rig.connect_client(), rig.connect_client(), 0] {
         rig.write(client, &health);
@@ -434,7 +439,8 @@
 
 #[test]
 fn data_that_crosses_the_close_of_an_idle_connection_causes_no_reset() {
-    let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 40, memory: 192 << 20 });
+    let mut rig =
+        DispatcherRig::with_settings(settings(), ResourceLimits { descriptors: 40, memory_bytes: 192 << 20 });
     rig.ignore_peer_close(0);
     let health = request(1, &[("SCRIPT_NAME", "/health")], b"");
     rig.write(0, &health);
--- a/tests/generated.rs
+++ b/tests/generated.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use common::{DispatcherRig, HOSTS, ms, object_request, record, settings};
-use myrtlegauge_dispatcher::routing::Room;
+use myrtlegauge_dispatcher::routing::ResourceLimits;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use serde_json::json;
@@ -119,7 +119,10 @@
 
 impl Scenario {
     fn new() -> Self {
-        let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 1024, memory: 192 << 20 });
+        let mut rig = DispatcherRig::with_settings(
+            settings(),
+            ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 },
+        );
         let clients = (0..3)
             .map(|_| TestClient { connection: rig.connect_client(), ..TestClient::default() })
             .collect();
@@ -310,7 +313,10 @@
             self.rig.turn();
         }
         prop_assert!(self.rig.dispatcher.is_done(), "the dispatcher did not stop\n{}", self.rig.trace);
-        prop_assert_eq!((self.rig.dispatcher.buffered(), self.rig.dispatcher.clients()), (0, 0));
+        prop_assert_eq!(
+            (self.rig.dispatcher.buffered_bytes(), self.rig.dispatcher.client_connections()),
+            (0, 0)
+        );
         Ok(())
     }
 }
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -4,14 +4,14 @@
 mod common;
 
 use common::{DispatcherRig, HOSTS, ms, object_request, request, settings};
-use myrtlegauge_dispatcher::routing::Room;
+use myrtlegauge_dispatcher::routing::ResourceLimits;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
 /// An action of a test on its rig.
 type Action<'a> = &'a dyn Fn(&mut DispatcherRig);
 
-const AMPLE_LIMITS: Room = Room { descriptors: 1024, memory: 192 << 20 };
+const AMPLE_LIMITS: ResourceLimits = ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 };
 /// A poll lasts 0.5 s, a silent one is given up 0.25 s later, and the next starts 0.05 s after that. The remaining 0.2 s are slack
 /// for a busy machine.
 const MAX_SILENCE_DETECTION: Duration = Duration::from_millis(1000);
@@ -162,7 +162,7 @@
     rig.answer_poll(&drain_event(2, &["cache-2"]));
     rig.wait_for_poll();
     // A reload of an invalid configuration changes nothing.
-    rig.dispatcher.follow(None);
+    rig.dispatcher.set_change_log_address(None);
     let trace_length = rig.trace.len();
     send_answered_gets(&mut rig, 1, 20);
     assert!(!rig.has_read_since("cache-2", trace_length), "{}", rig.trace);
@@ -418,7 +418,7 @@
                     took < ms(1400),
                     "clients: {clients}, deadline: {deadline_ms} ms, shutdown took {took:?}"
                 );
-                assert_eq!(rig.dispatcher.taken(), 0);
+                assert_eq!(rig.dispatcher.gets_taken(), 0);
             }
         }
     }
@@ -538,7 +538,7 @@
     rig.run_for_ms(200);
     let after: Vec<usize> = (1..=BURST).map(|number| rig.forwards_read(number)).collect();
     assert_eq!(before, after, "{}", rig.trace);
-    assert_eq!(rig.dispatcher.clients(), 1);
+    assert_eq!(rig.dispatcher.client_connections(), 1);
     send_answered_gets(&mut rig, 100, 3);
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{DispatcherRig, ms, request, settings};
-use myrtlegauge_dispatcher::routing::Room;
+use myrtlegauge_dispatcher::routing::ResourceLimits;
 use serde_json::{Value, json};
 use std::time::Instant;
 
@@ -65,7 +65,7 @@
     for _ in 0..12 {
         let (configuration, services) = random_settings(&mut rng);
         let max_deadline_ms = services.iter().map(|service| service.deadline_ms).fold(0.0, f64::max);
-        let room = Room { descriptors: [64, 256, 1024][rng.usize(0..3)], memory: 32 << 20 };
+        let room = ResourceLimits { descriptors: [64, 256, 1024][rng.usize(0..3)], memory_bytes: 32 << 20 };
         let mut rig = DispatcherRig::with_settings(configuration.clone(), room);
         for (index, service) in services.iter().enumerate() {
             let request_id = index as u16 + 1;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -5,7 +5,7 @@
 use common::{DispatcherRig, HOSTS, record, request, settings};
 use insta::assert_snapshot;
 use myrtlegauge_dispatcher::program::{ConfigFile, reload};
-use myrtlegauge_dispatcher::routing::{Dispatcher, Room};
+use myrtlegauge_dispatcher::routing::{Dispatcher, ResourceLimits};
 use serde_json::json;
 
 #[test]
@@ -129,7 +129,8 @@
 fn a_get_waiting_for_a_connection_is_rerouted_when_its_host_drains() {
     let mut settings = settings();
     settings["limits"]["connect_timeout_ms"] = json!(60_000.0);
-    let mut rig = DispatcherRig::with_settings(settings, Room { descriptors: 1024, memory: 192 << 20 });
+    let mut rig =
+        DispatcherRig::with_settings(settings, ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 });
     rig.fill_accept_queue("cache-0");
     rig.send_get(1, "video", &[]);
     rig.run_for_ms(100);
@@ -263,7 +264,8 @@
 
 #[test]
 fn incomplete_requests_are_answered_or_their_connections_closed_in_time() {
-    let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 8, memory: 192 << 20 });
+    let mut rig =
+        DispatcherRig::with_settings(settings(), ResourceLimits { descriptors: 8, memory_bytes: 192 << 20 });
     let params = [("SCRIPT_NAME", "/rpc/video"), ("HTTP_REQUEST_ID", "0000000000000001")];
     rig.comment("the id of a GET in flight, for another object");
     rig.send_get(1, "video", &[]);
@@ -399,7 +401,8 @@
 
 #[test]
 fn a_client_that_does_not_read_does_not_increase_buffered_bytes() {
-    let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 1024, memory: 4 << 20 });
+    let mut rig =
+        DispatcherRig::with_settings(settings(), ResourceLimits { descriptors: 1024, memory_bytes: 4 << 20 });
     rig.clients_paused = true;
     let mut readers = Vec::new();
     for number in 1..=31 {
@@ -412,17 +415,18 @@
         rig.answer(number, "200", "why=TCP_HIT", &"x".repeat(240_000));
     }
     rig.run_for_ms(200);
-    let buffered = rig.dispatcher.buffered();
+    let buffered = rig.dispatcher.buffered_bytes();
     assert!(buffered < 2 << 20, "{buffered} bytes in buffers");
     rig.clients_paused = false;
     rig.wait_for_lines(31);
     assert_eq!(rig.trace.matches("240086 bytes").count(), 31, "{}", rig.trace);
-    assert_eq!(rig.dispatcher.buffered(), 0, "buffers are not empty after all answers were read");
+    assert_eq!(rig.dispatcher.buffered_bytes(), 0, "buffers are not empty after all answers were read");
 }
 
 #[test]
 fn a_new_client_replaces_the_one_idle_for_longest() {
-    let mut rig = DispatcherRig::with_settings(settings(), Room { descriptors: 4, memory: 192 << 20 });
+    let mut rig =
+        DispatcherRig::with_settings(settings(), ResourceLimits { descriptors: 4, memory_bytes: 192 << 20 });
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     let params = [("SCRIPT_NAME", "/health")];
@@ -465,7 +469,8 @@
     for class in settings["classes"].as_array_mut().unwrap() {
         class["deadline_ms"] = json!(300.0);
     }
-    let mut rig = DispatcherRig::with_settings(settings, Room { descriptors: 1024, memory: 192 << 20 });
+    let mut rig =
+        DispatcherRig::with_settings(settings, ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 });
     rig.send_get(1, "video", &[]);
     rig.wait_for_lines(1);
     let first = rig.last_reader.clone();
@@ -490,7 +495,7 @@
         rig.answer(number, "200", "why=TCP_HIT", "the bytes");
         rig.wait_for_lines(1);
     }
-    assert_eq!(rig.dispatcher.hosts(), HOSTS.len());
+    assert_eq!(rig.dispatcher.host_slots(), HOSTS.len());
     assert_snapshot!(rig.trace);
 }
 
