--- a/crates/dispatcher/src/routing/replicas.rs
+++ b/crates/dispatcher/src/routing/replicas.rs
@@ -4,8 +4,8 @@
 //! clients in the proof runs use the same code.
 
 use myrtlegauge_replication::{
-    Ask, ConfigurationError, HostLine, Incarnation, MemberName, PollAnswer, Purge, Record, ReplicaName,
-    Subscriber, SubscriberConfig, SubscriberCounters, SubscriberDefences,
+    ConfigurationError, HostLine, Incarnation, MemberName, PollAnswer, Purge, Record, ReplicaName,
+    Subscriber, SubscriberConfig, SubscriberCounters, SubscriberDefences, SubscriberPoll,
 };
 use myrtlegauge_wire::long_poll::LongPollClient;
 use myrtlegauge_wire::protocol::StreamError;
@@ -151,7 +151,7 @@
         Some(match answer {
             Ok(body) => self.apply_answer(&name, &body, now),
             Err(StreamError(error)) => {
-                self.subscriber.failed(&name, now);
+                self.subscriber.on_failure(&name, now);
                 Err(PollError(format!("{name}: {error}")))
             }
         })
@@ -161,13 +161,13 @@
         let answer: PollAnswer = match serde_json::from_slice(body) {
             Ok(answer) => answer,
             Err(e) => {
-                self.subscriber.failed(name, now);
+                self.subscriber.on_failure(name, now);
                 return Err(PollError(format!("{name}: unreadable answer: {e}")));
             }
         };
         let accepted =
-            self.subscriber.answered(name, answer, now).map_err(|error| PollError(error.to_string()))?;
-        self.records.extend(accepted.apply);
+            self.subscriber.on_answer(name, answer, now).map_err(|error| PollError(error.to_string()))?;
+        self.records.extend(accepted.records);
         let polled_at =
             self.replicas.iter().find(|replica| replica.name == *name).map(|replica| replica.polled_at);
         self.list_known = self.list_known.max(polled_at.unwrap_or_default());
@@ -184,21 +184,21 @@
         if self.has_records() || self.leave_deadline.is_some() {
             return;
         }
-        while let Some(ask) = self.subscriber.next_ask(now) {
-            self.send(&ask, event_loop, resource_usage, now);
+        while let Some(poll) = self.subscriber.next_poll(now) {
+            self.send(&poll, event_loop, resource_usage, now);
         }
     }
 
     fn send(
         &mut self,
-        ask: &Ask,
+        poll: &SubscriberPoll,
         event_loop: &EventLoopHandle<O>,
         resource_usage: &Rc<ResourceUsage>,
         now: Duration,
     ) {
-        if let Some(replica) = self.replicas.iter_mut().find(|replica| replica.name == ask.to) {
+        if let Some(replica) = self.replicas.iter_mut().find(|replica| replica.name == poll.to) {
             replica.polled_at = now;
-            replica.poll.start_poll(&ask.request.to_query(), ask.give_up_at, event_loop, resource_usage);
+            replica.poll.start_poll(&poll.request.to_query(), poll.deadline, event_loop, resource_usage);
         }
     }
 
@@ -234,12 +234,12 @@
 
     /// Whether the uncertainty has begun or ended since the last call of `update_uncertainty`.
     pub fn has_uncertainty_changed(&self, now: Duration) -> bool {
-        self.subscriber.in_doubt(now).is_some() != self.was_uncertain
+        self.subscriber.in_doubt_since(now).is_some() != self.was_uncertain
     }
 
     /// Whether purges may have been missed. To be called once all received records are applied.
     pub fn update_uncertainty(&mut self, now: Duration) -> PurgeUncertainty {
-        let is_uncertain = self.subscriber.in_doubt(now).is_some();
+        let is_uncertain = self.subscriber.in_doubt_since(now).is_some();
         let was_uncertain = std::mem::replace(&mut self.was_uncertain, is_uncertain);
         match (was_uncertain, is_uncertain) {
             (false, true) => PurgeUncertainty::Began,
@@ -253,8 +253,11 @@
     pub fn deadline(&self, now: Duration) -> Duration {
         let polls =
             self.replicas.iter().map(|replica| replica.poll.deadline()).min().unwrap_or(Duration::MAX);
-        let subscriber_deadline =
-            self.subscriber.next_wake(now).filter(|_| self.leave_deadline.is_none()).unwrap_or(Duration::MAX);
+        let subscriber_deadline = self
+            .subscriber
+            .next_wakeup(now)
+            .filter(|_| self.leave_deadline.is_none())
+            .unwrap_or(Duration::MAX);
         polls.min(subscriber_deadline).min(self.leave_deadline.unwrap_or(Duration::MAX))
     }
 
@@ -267,8 +270,8 @@
     ) -> bool {
         if self.leave_deadline.is_none() {
             self.leave_deadline = Some(now + LEAVE_TIMEOUT);
-            let ask = self.subscriber.leave(now);
-            self.send(&ask, event_loop, resource_usage, now);
+            let poll = self.subscriber.leave(now);
+            self.send(&poll, event_loop, resource_usage, now);
         }
         let is_notified = !self.replicas.iter().any(|replica| replica.poll.is_pending());
         is_notified || self.leave_deadline.is_some_and(|deadline| now >= deadline)
--- a/crates/replica/src/peers.rs
+++ b/crates/replica/src/peers.rs
@@ -3,7 +3,7 @@
 use crate::service::{Service, Who};
 use bytes::Bytes;
 use myrtlegauge_operator::file::ReplicaPeer;
-use myrtlegauge_replication::{PeerAsk, ReplicaName};
+use myrtlegauge_replication::{PeerPoll, ReplicaName};
 use myrtlegauge_wire::long_poll::LongPollClient;
 use myrtlegauge_wire::protocol::StreamError;
 use myrtlegauge_wire::transport::{EventLoopHandle, ResourceUsage};
@@ -41,9 +41,9 @@
     }
 
     /// Sends a poll.
-    pub fn ask(&mut self, ask: &PeerAsk, hub: &EventLoopHandle<Service>, accounts: &Rc<ResourceUsage>) {
+    pub fn ask(&mut self, ask: &PeerPoll, hub: &EventLoopHandle<Service>, accounts: &Rc<ResourceUsage>) {
         let Some(peer) = self.0.iter_mut().find(|peer| peer.name == ask.to) else { return };
-        peer.poll.start_poll(&ask.request.to_query(), ask.give_up_at, hub, accounts);
+        peer.poll.start_poll(&ask.request.to_query(), ask.deadline, hub, accounts);
     }
 
     /// Reads and writes what can be; true: there is more to read.
--- a/crates/replica/src/service.rs
+++ b/crates/replica/src/service.rs
@@ -205,7 +205,7 @@
         if !self.ready.is_empty() {
             return Duration::ZERO;
         }
-        let core = self.core.next_wake().filter(|_| !self.is_full()).unwrap_or(Duration::MAX);
+        let core = self.core.next_wakeup().filter(|_| !self.is_full()).unwrap_or(Duration::MAX);
         let source = self.source.as_ref().map_or(Duration::MAX, |source| source.feed.deadline);
         let due = core.min(source).min(self.peers.due()).min(self.tidy_at);
         due.saturating_sub(self.clock.now())
@@ -217,7 +217,7 @@
         self.read();
         self.follow_source();
         self.hear_peers();
-        if self.core.next_wake().is_some_and(|at| self.now >= at) {
+        if self.core.next_wakeup().is_some_and(|at| self.now >= at) {
             self.core.tick(self.now);
         }
         self.ask_peers();
@@ -336,7 +336,7 @@
     }
 
     fn ask_peers(&mut self) {
-        while let Some(ask) = self.core.next_ask(self.now) {
+        while let Some(ask) = self.core.next_poll(self.now) {
             self.peers.ask(&ask, &self.hub, &self.accounts);
         }
     }
@@ -356,7 +356,7 @@
             Err(e) => return self.lose_peer_poll(name, &format_args!("an answer can't be read: {e}")),
         };
         let records: Vec<Record> = answer.results.iter().map(|event| event.record.clone()).collect();
-        match self.core.peer_answered(name, answer, self.now) {
+        match self.core.on_peer_answer(name, answer, self.now) {
             Ok(()) => records.iter().for_each(|record| self.purges.note(record)),
             Err(error) => self.lose_peer_poll(name, &error),
         }
@@ -365,7 +365,7 @@
     fn lose_peer_poll(&mut self, name: &ReplicaName, what: &dyn std::fmt::Display) {
         self.counters.peer_polls_failed += 1;
         self.faults.warn(self.now, &format_args!("replica {name}: {what}"));
-        self.core.peer_failed(name, self.now);
+        self.core.on_peer_failure(name, self.now);
     }
 
     fn read_source(&mut self) -> bool {
@@ -487,7 +487,7 @@
     ReplicaConfig {
         batch_interval: terms.batch,
         member_lease: terms.member_lease,
-        purge_span: terms.purges_kept,
+        purge_retention: terms.purges_kept,
         doubt_after: terms.doubt_after,
         ..ReplicaConfig::new(name, peers, incarnation)
     }
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -175,11 +175,11 @@
 fn said(reason: Reason) -> &'static str {
     match reason {
         Reason::StartUp => "it has started lately",
-        Reason::NotHeard => "it does not answer",
+        Reason::NoRecentAnswer => "it does not answer",
         Reason::NotRead => "it has not read the purge",
         Reason::NotApplied => "dispatchers attached there lag",
-        Reason::AttachedSince => "a dispatcher has attached there since its last report",
-        Reason::NoPeer => "dispatchers are attached there and it is no peer",
+        Reason::AttachedSinceReport => "a dispatcher has attached there since its last report",
+        Reason::NotAPeer => "dispatchers are attached there and it is no peer",
     }
 }
 
--- a/crates/replica/tests/requests.rs
+++ b/crates/replica/tests/requests.rs
@@ -24,7 +24,7 @@
     PollRequest {
         log: Some(LogId("a-17".to_owned())),
         since: Sequence(4),
-        whole: Sequence(3),
+        acknowledged: Sequence(3),
         timeout: Duration::from_millis(500),
         poller: Poller::Dispatcher {
             name: MemberName("edge 1".to_owned()),
@@ -41,7 +41,7 @@
     let reader = PollRequest {
         log: None,
         since: Sequence(7),
-        whole: Sequence(0),
+        acknowledged: Sequence(0),
         timeout: Duration::from_millis(500),
         poller: Poller::Reader,
     };
@@ -79,7 +79,7 @@
     }
     assert_eq!(
         read_query("since=1&role=dispatcher&name=a&incarnation=1"),
-        Err(RequestError::Poll(PollError::Missing("attachment")))
+        Err(RequestError::Poll(PollError::MissingField("attachment")))
     );
 }
 
@@ -125,10 +125,13 @@
 
 #[test]
 fn an_error_answer_says_its_status_and_closes() {
-    let answer = http::error_answer(&RequestError::Poll(PollError::Missing("name")));
+    let answer = http::error_answer(&RequestError::Poll(PollError::MissingField("name")));
     let text = String::from_utf8(answer.to_vec()).expect("a text");
     assert!(text.starts_with("HTTP/1.1 400 Bad Request\r\n"), "{text}");
-    assert!(text.contains("\r\nConnection: close\r\n") && text.contains("a poll without `name=`"), "{text}");
+    assert!(
+        text.contains("\r\nConnection: close\r\n") && text.contains("the field `name=` is missing"),
+        "{text}"
+    );
 }
 
 proptest! {
--- a/crates/replication/src/checks.rs
+++ b/crates/replication/src/checks.rs
@@ -1,24 +1,28 @@
-//! Checks that both sides make of their configurations.
+//! Validation shared by the configurations of replicas and subscribers.
 
 use crate::errors::ConfigurationError;
-use crate::poll::NAME_MOST;
+use crate::poll::MAX_NAME_BYTES;
 use std::time::Duration;
 
-/// A span has to be longer than another.
-pub(crate) fn longer(
-    span: (&'static str, Duration),
-    least: (&'static str, Duration),
+/// Checks that a duration is longer than another. Both come with their names for the error.
+pub(crate) fn check_longer(
+    (setting, value): (&'static str, Duration),
+    (other, minimum): (&'static str, Duration),
 ) -> Result<(), ConfigurationError> {
-    let ((span, given), (what, least)) = (span, least);
-    if given > least { Ok(()) } else { Err(ConfigurationError::TooShort { span, given, what, least }) }
+    if value > minimum {
+        Ok(())
+    } else {
+        Err(ConfigurationError::TooShort { setting, value, other, minimum })
+    }
 }
 
+/// Checks the length of a name.
 pub(crate) fn check_name(what: &'static str, name: &str) -> Result<(), ConfigurationError> {
     let length = name.len();
-    let fits = (1..=NAME_MOST).contains(&length);
-    if fits { Ok(()) } else { Err(ConfigurationError::Name { what, length, most: NAME_MOST }) }
+    let is_valid = (1..=MAX_NAME_BYTES).contains(&length);
+    if is_valid { Ok(()) } else { Err(ConfigurationError::Name { what, length, max: MAX_NAME_BYTES }) }
 }
 
-pub(crate) fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+pub(crate) fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/replication/src/compacted_log.rs
+++ b/crates/replication/src/compacted_log.rs
@@ -16,12 +16,12 @@
     /// The record.
     pub record: Record,
     /// When it was taken into this log.
-    pub taken_at: Duration,
+    pub added_at: Duration,
 }
 
 /// What a record has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Joined {
+pub enum MergeResult {
     /// It took a place: it is new, or greater than the one before.
     Changed(Sequence),
     /// It is known, or one that is greater: at this place.
@@ -30,7 +30,7 @@
 
 /// A part of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct LogSlice {
     /// In order.
     pub events: Vec<Event>,
     /// All up to here is told.
@@ -51,25 +51,25 @@
 /// The log.
 ///
 /// ```
-/// use myrtlegauge_replication::compacted_log::{Audience, CompactedLog, Joined};
+/// use myrtlegauge_replication::compacted_log::{Audience, CompactedLog, MergeResult};
 /// use myrtlegauge_replication::{Purge, PurgeTarget, Record, Sequence};
 /// use std::time::Duration;
 /// let purge = |unix_ms| Record::Purge(Purge { target: PurgeTarget::Group(17), unix_ms });
 /// let mut log = CompactedLog::default();
-/// assert_eq!(log.join(purge(1000), Duration::ZERO), Joined::Changed(Sequence(1)));
-/// assert_eq!(log.join(purge(900), Duration::ZERO), Joined::Known(Sequence(1)));
-/// assert_eq!(log.join(purge(1200), Duration::ZERO), Joined::Changed(Sequence(2)));
+/// assert_eq!(log.join(purge(1000), Duration::ZERO), MergeResult::Changed(Sequence(1)));
+/// assert_eq!(log.join(purge(900), Duration::ZERO), MergeResult::Known(Sequence(1)));
+/// assert_eq!(log.join(purge(1200), Duration::ZERO), MergeResult::Changed(Sequence(2)));
 /// assert_eq!(log.since(Sequence(0), 10, Audience::Dispatchers).events.len(), 1);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CompactedLog {
     last: Sequence,
-    last_news: Sequence,
+    last_data_seq: Sequence,
     entries: BTreeMap<RecordName, Entry>,
-    news: BTreeMap<Sequence, RecordName>,
+    data: BTreeMap<Sequence, RecordName>,
     members: BTreeMap<Sequence, RecordName>,
     purges_by_time: BTreeSet<(u64, RecordName)>,
-    left_by_time: BTreeSet<(u64, RecordName)>,
+    left_members_by_time: BTreeSet<(u64, RecordName)>,
 }
 
 impl CompactedLog {
@@ -79,17 +79,17 @@
     }
 
     /// The last place that a record other than a member's took.
-    pub fn last_news(&self) -> Sequence {
-        self.last_news
+    pub fn last_data_seq(&self) -> Sequence {
+        self.last_data_seq
     }
 
     /// Records that are held, members aside.
-    pub fn news_held(&self) -> usize {
-        self.news.len()
+    pub fn data_count(&self) -> usize {
+        self.data.len()
     }
 
     /// Members that are held.
-    pub fn members_held(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
@@ -116,12 +116,12 @@
     }
 
     /// Takes a record in: the greater one of its name stays.
-    pub fn join(&mut self, record: Record, now: Duration) -> Joined {
+    pub fn join(&mut self, record: Record, now: Duration) -> MergeResult {
         let name = record.name();
         if let Some(known) = self.entries.get(&name)
-            && record.stamp_cmp(&known.record).is_le()
+            && record.cmp_precedence(&known.record).is_le()
         {
-            return Joined::Known(known.seq);
+            return MergeResult::Known(known.seq);
         }
         self.remove(&name);
         self.last.0 += 1;
@@ -129,39 +129,39 @@
         if name.is_member() {
             self.members.insert(seq, name.clone());
         } else {
-            self.last_news = seq;
-            self.news.insert(seq, name.clone());
+            self.last_data_seq = seq;
+            self.data.insert(seq, name.clone());
         }
         match &record {
             Record::Purge(purge) => _ = self.purges_by_time.insert((purge.unix_ms, name.clone())),
             Record::Member(Member { state: MemberState::Left(unix_ms), .. }) => {
-                _ = self.left_by_time.insert((*unix_ms, name.clone()));
+                _ = self.left_members_by_time.insert((*unix_ms, name.clone()));
             }
             _ => {}
         }
-        self.entries.insert(name, Entry { seq, record, taken_at: now });
-        Joined::Changed(seq)
+        self.entries.insert(name, Entry { seq, record, added_at: now });
+        MergeResult::Changed(seq)
     }
 
-    /// Records above a place, `most` of them at most.
-    pub fn since(&self, since: Sequence, most: usize, audience: Audience) -> Part {
+    /// Records above a place, `max_records` of them at most.
+    pub fn since(&self, since: Sequence, max_records: usize, audience: Audience) -> LogSlice {
         let above = Sequence(since.0.saturating_add(1));
-        let mut news = self.news.range(above..).peekable();
+        let mut data = self.data.range(above..).peekable();
         let mut members =
             self.members.range(above..).take_while(|_| audience == Audience::Replicas).peekable();
         let mut events = Vec::new();
         loop {
-            let next = match (news.peek(), members.peek()) {
-                (Some((news_at, _)), Some((member_at, _))) if member_at < news_at => members.next(),
-                (Some(_), _) => news.next(),
+            let next = match (data.peek(), members.peek()) {
+                (Some((data_seq, _)), Some((member_seq, _))) if member_seq < data_seq => members.next(),
+                (Some(_), _) => data.next(),
                 (None, _) => members.next(),
             };
             let Some((&seq, name)) = next else {
-                return Part { events, seq: self.last, more: false };
+                return LogSlice { events, seq: self.last, more: false };
             };
-            if events.len() >= most {
-                let told = events.last().map_or(since, |event: &Event| event.seq);
-                return Part { events, seq: told, more: true };
+            if events.len() >= max_records {
+                let last_returned = events.last().map_or(since, |event: &Event| event.seq);
+                return LogSlice { events, seq: last_returned, more: true };
             }
             if let Some(entry) = self.entries.get(name) {
                 events.push(Event { seq, record: entry.record.clone() });
@@ -175,20 +175,20 @@
     }
 
     /// Forgets members that left before a Unix time, in milliseconds; how many.
-    pub fn forget_left_before(&mut self, unix_ms: u64) -> u64 {
-        drop_before(self, unix_ms, |log| &log.left_by_time)
+    pub fn drop_members_left_before(&mut self, unix_ms: u64) -> u64 {
+        drop_before(self, unix_ms, |log| &log.left_members_by_time)
     }
 
     fn remove(&mut self, name: &RecordName) {
         let Some(entry) = self.entries.remove(name) else {
             return;
         };
-        self.news.remove(&entry.seq);
+        self.data.remove(&entry.seq);
         self.members.remove(&entry.seq);
         match entry.record {
             Record::Purge(purge) => _ = self.purges_by_time.remove(&(purge.unix_ms, name.clone())),
             Record::Member(Member { state: MemberState::Left(unix_ms), .. }) => {
-                _ = self.left_by_time.remove(&(unix_ms, name.clone()));
+                _ = self.left_members_by_time.remove(&(unix_ms, name.clone()));
             }
             _ => {}
         }
--- a/crates/replication/src/errors.rs
+++ b/crates/replication/src/errors.rs
@@ -1,208 +1,212 @@
-//! What can be wrong, each with what an operator can do about it.
+//! Errors of replication. Each message says what failed and what an operator can do about it.
 
 use crate::record::{LogId, MemberName, ReplicaName, Sequence, Version};
 use std::time::Duration;
 use thiserror::Error;
 
-/// A record that can't be taken.
+/// A record that is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// Another body under the same version.
+    /// The known record has the same version and a different body.
     #[error(
-        "{what} `{name}` has another body under version {version}: publish the change under a greater version"
+        "{kind} `{name}` version {version} is already known with a different body: publish the change under a greater version"
     )]
     Conflict {
         /// The kind of record.
-        what: &'static str,
-        /// Its name.
+        kind: &'static str,
+        /// The name of the record.
         name: String,
-        /// The version of both.
+        /// The version of both records.
         version: Version,
     },
 }
 
-/// A publication that was refused: nothing was applied.
+/// A rejected publication. Nothing was applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// The record itself can't be taken.
+    /// The record itself is rejected.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// Older than what is in force.
+    /// The version is lower than that of the known record.
     #[error(
-        "{what} `{name}` version {version} is older than version {known}, which is in force: read the one in force, and publish above it"
+        "{kind} `{name}` version {version} is older than the current version {known}: read the current version and publish a greater one"
     )]
     Older {
         /// The kind of record.
-        what: &'static str,
-        /// Its name.
+        kind: &'static str,
+        /// The name of the record.
         name: String,
-        /// The version that was published.
+        /// The published version.
         version: Version,
-        /// The version that is known.
+        /// The known version.
         known: Version,
     },
-    /// Older than any copy can be.
+    /// The purge is older than any cached copy can be.
     #[error(
-        "a purge of Unix ms {unix_ms}, before {oldest}, is older than any copy can be: nothing needs purging; look at the publisher's clock"
+        "the purge time {unix_ms} (Unix ms) is before {oldest}, and no cached copy is that old: nothing needs purging; check the publisher's clock"
     )]
     PurgeTooOld {
         /// The time of the purge.
         unix_ms: u64,
-        /// The oldest time that is taken.
+        /// The oldest accepted time.
         oldest: u64,
     },
-    /// A purge of the future would purge copies that are yet to be made.
-    #[error("a purge of Unix ms {unix_ms}, {ahead_ms} ms ahead of this replica: set the publisher's clock")]
+    /// The purge lies in the future, and would purge copies that are yet to be made.
+    #[error(
+        "the purge time {unix_ms} (Unix ms) is {ahead_ms} ms ahead of this replica's clock: correct the publisher's clock"
+    )]
     PurgeAhead {
         /// The time of the purge.
         unix_ms: u64,
-        /// How far ahead it is.
+        /// How far the time is ahead of this replica's clock.
         ahead_ms: u64,
     },
-    /// No more records are held.
+    /// The maximum number of records is reached.
     #[error(
-        "{most} records are held, and this would be one more: purge groups in place of objects, or raise the bound on records"
+        "record rejected: the limit of {max} records is reached; purge groups instead of objects, or raise the limit"
     )]
     Full {
-        /// The bound.
-        most: usize,
+        /// The maximum number of records.
+        max: usize,
     },
-    /// Members come by polls alone.
+    /// Member records are created by polls only.
     #[error(
-        "member `{0}` was published: members come by their own polls; publish purges, hosts and configurations"
+        "publication of member `{0}` rejected: member records come from the members' own polls; publish only purges, hosts and configurations"
     )]
     Member(MemberName),
-    /// A name that is empty or too long.
-    #[error("a name of {length} bytes: give it 1 to {most} bytes")]
+    /// The name is empty or too long.
+    #[error("record name of {length} bytes rejected: use 1 to {max} bytes")]
     Name {
-        /// The length of the name.
+        /// The length of the name in bytes.
         length: usize,
-        /// The most that is allowed.
-        most: usize,
+        /// The maximum length in bytes.
+        max: usize,
     },
 }
 
-/// A poll that can't be taken.
+/// A poll that is rejected, or is answered from the start of the log or as superseded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PollError {
-    /// A field that is needed is missing.
-    #[error("a poll without `{0}=`: name it, or poll without a role to be no member")]
-    Missing(&'static str),
-    /// A field that can't be read.
-    #[error("a poll with `{field}={value}`: give {wanted}")]
-    Unreadable {
+    /// A required field is missing.
+    #[error("poll rejected: the field `{0}=` is missing; add it, or poll without a role to be no member")]
+    MissingField(&'static str),
+    /// A field has an invalid value.
+    #[error("poll rejected: invalid `{field}={value}`; give {expected}")]
+    InvalidField {
         /// The name of the field.
         field: &'static str,
-        /// What was given.
+        /// The given value.
         value: String,
-        /// What is wanted.
-        wanted: &'static str,
+        /// A description of valid values.
+        expected: &'static str,
     },
-    /// It acknowledges what was not told.
+    /// The poll acknowledges records that the log does not have.
     #[error(
-        "a poll since {since} of log {log}, which has told {last} at most: the poller is answered from 0; look for two replicas under one name"
+        "poll since {since} of log {log}, which ends at {last}: answering from 0; check for two replicas with the same name"
     )]
-    Ahead {
-        /// The log.
+    AheadOfLog {
+        /// The polled log.
         log: LogId,
-        /// What the poll acknowledges.
+        /// The sequence number that the poll acknowledges.
         since: Sequence,
         /// The last sequence number of the log.
         last: Sequence,
     },
-    /// A replica that isn't one of the peers.
-    #[error("replica `{0}` polls and is no peer here: list it among the peers, or point it elsewhere")]
+    /// The polling replica is not one of the peers.
+    #[error(
+        "poll of replica `{0}` rejected: it is not among the peers of this replica; add it to them, or correct the address that it polls"
+    )]
     UnknownReplica(ReplicaName),
-    /// A poll by an older process of the name, or of an attachment that is over.
+    /// The poll comes from an older process of that name, or under an attachment that was superseded.
     #[error(
-        "member `{name}` polls by an attachment that is over: it has to attach anew; if this repeats, look for two dispatchers under one name"
+        "member `{name}` polls under a superseded attachment and is told to attach again; if this repeats, check for two dispatchers with the same name"
     )]
     Superseded {
-        /// The dispatcher.
+        /// The name of the dispatcher.
         name: MemberName,
     },
-    /// More members than are held.
+    /// The maximum number of members is reached.
     #[error(
-        "{most} members are known, and `{name}` would be one more: look for made-up names, or raise the bound on members"
+        "poll of new member `{name}` rejected: the limit of {max} members is reached; check for made-up names, or raise the limit"
     )]
     TooManyMembers {
-        /// The dispatcher.
+        /// The name of the dispatcher.
         name: MemberName,
-        /// The bound.
-        most: usize,
+        /// The maximum number of members.
+        max: usize,
     },
 }
 
-/// An answer that can't be taken; nothing of it was applied.
+/// A rejected answer. Nothing of it was applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AnswerError {
-    /// It is no answer of a replica.
+    /// The body is not the JSON of a replica's answer.
     #[error(
-        "an answer that can't be read ({0}): look for another program at that address, or replicas of another version"
+        "answer ignored: it is not a replica's answer ({0}); check for another program at that address, or replicas of another version"
     )]
     Unreadable(String),
-    /// Nothing was asked, or it was given up.
-    #[error("an answer of `{0}` to no poll: it is passed over")]
-    NotAsked(ReplicaName),
-    /// A replica that isn't one of the peers.
-    #[error("an answer of replica `{0}`, which is no peer here: list it among the peers")]
+    /// No poll of that replica is open: none was sent, or it timed out.
+    #[error("answer of `{0}` ignored: no poll of that replica is open")]
+    Unsolicited(ReplicaName),
+    /// The answering replica is not one of the peers.
+    #[error("answer of replica `{0}` ignored: it is not among the peers of this replica; add it to them")]
     UnknownReplica(ReplicaName),
-    /// An answer whose events go back or beyond its `seq`.
+    /// An event is not above the one before it, or is above the `seq` of the answer.
     #[error(
-        "an answer of `{replica}` with event {event} out of order: update that replica, or look for another program at its address"
+        "answer of `{replica}` ignored: event {event} is out of order; update that replica, or check for another program at its address"
     )]
     OutOfOrder {
-        /// The replica.
+        /// The replica that answered.
         replica: ReplicaName,
-        /// The event.
+        /// The first event that is out of order.
         event: Sequence,
     },
 }
 
-/// A configuration that can't work.
+/// An invalid configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
     /// The fallback is the primary.
-    #[error("replica `{0}` is its own fallback: name a replica of another site as the fallback")]
+    #[error("replica `{0}` is both primary and fallback: name a replica of another site as the fallback")]
     FallbackIsPrimary(ReplicaName),
-    /// A replica among its own peers.
-    #[error("replica `{0}` is named among its own peers: list the others only")]
+    /// The replica is among its own peers.
+    #[error("replica `{0}` is among its own peers: list only the other replicas")]
     OwnPeer(ReplicaName),
-    /// A peer is named twice.
-    #[error("peer `{0}` is named twice: list each once, or the count of a majority is wrong")]
+    /// A peer is listed twice.
+    #[error("peer `{0}` is listed twice: list each peer once, because majorities are counted from the list")]
     PeerTwice(ReplicaName),
-    /// A name that is empty or too long.
-    #[error("a {what} of {length} bytes: give it 1 to {most} bytes")]
+    /// A name is empty or too long.
+    #[error("the {what} has {length} bytes: use 1 to {max} bytes")]
     Name {
-        /// What is named.
+        /// What has the name.
         what: &'static str,
-        /// The length of the name.
+        /// The length of the name in bytes.
         length: usize,
-        /// The most that is allowed.
-        most: usize,
+        /// The maximum length in bytes.
+        max: usize,
     },
-    /// A span that has to be longer than another.
+    /// A duration is not longer than another.
     #[error(
-        "{span} of {given:?} has to be over {what} ({least:?}): raise it, or a claim could be made too soon"
+        "{setting} of {value:?} must be longer than {other} ({minimum:?}): raise it, because a record could be reported in force too soon"
     )]
     TooShort {
-        /// The span that is too short.
-        span: &'static str,
-        /// What was given.
-        given: Duration,
-        /// What it has to be longer than.
-        what: &'static str,
-        /// That bound.
-        least: Duration,
+        /// The duration that is too short.
+        setting: &'static str,
+        /// The value of that duration.
+        value: Duration,
+        /// The duration that it must exceed.
+        other: &'static str,
+        /// The value of that other duration.
+        minimum: Duration,
     },
-    /// A bound of nothing.
-    #[error("{0} is zero: give at least 1")]
+    /// A limit is zero.
+    #[error("{0} is zero: use at least 1")]
     Zero(&'static str),
 }
 
 impl PollError {
-    /// The poll was taken all the same, and is answered: the error is only to be told.
+    /// Whether the poll was accepted and is answered, so that the error is only to be logged.
     pub fn is_answered(&self) -> bool {
-        matches!(self, Self::Ahead { .. } | Self::Superseded { .. })
+        matches!(self, Self::AheadOfLog { .. } | Self::Superseded { .. })
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -20,6 +20,8 @@
     Attachment, Configuration, Event, HostLine, Incarnation, LogId, Member, MemberName, MemberState, Purge,
     PurgeTarget, Record, RecordName, ReplicaName, Sequence, Version,
 };
-pub use replica::{MemberView, PeerAsk, PollId, Replica, ReplicaConfig, ReplicaCounters, ReplicaDefences};
-pub use subscriber::{Ask, Subscriber, SubscriberConfig, SubscriberCounters, SubscriberDefences, Taken};
+pub use replica::{MemberView, PeerPoll, PollId, Replica, ReplicaConfig, ReplicaCounters, ReplicaDefences};
+pub use subscriber::{
+    AcceptedAnswer, Subscriber, SubscriberConfig, SubscriberCounters, SubscriberDefences, SubscriberPoll,
+};
 pub use watermark::{LaggingReplica, Outstanding, Reason, Verdict};
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -2,21 +2,21 @@
 
 use crate::poll::{PollAnswer, ReplicaReport, ReplicaStanding};
 use crate::record::{LogId, MemberName, ReplicaName, Sequence};
-use crate::watermark::Marks;
+use crate::watermark::SeqTranslation;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// An open poll of a peer.
 #[derive(Clone, Debug)]
-pub(crate) struct OpenAsk {
+pub(crate) struct OpenPoll {
     pub sent_at: Duration,
     pub since: Sequence,
-    pub give_up_at: Duration,
+    pub deadline: Duration,
 }
 
 /// What the last whole answer of a peer said.
 #[derive(Clone, Debug)]
-pub(crate) struct TakenReport {
+pub(crate) struct ReceivedReport {
     /// When it was asked for: the peer answered after this.
     pub sent_at: Duration,
     pub standing: ReplicaStanding,
@@ -35,36 +35,36 @@
     /// The log of it that is read.
     pub log: Option<LogId>,
     pub since: Sequence,
-    pub whole: Sequence,
-    pub open: Option<OpenAsk>,
+    pub acknowledged: Sequence,
+    pub open_poll: Option<OpenPoll>,
     /// Not asked before.
-    pub ask_at: Duration,
-    pub report: Option<TakenReport>,
+    pub next_poll_at: Duration,
+    pub report: Option<ReceivedReport>,
     /// It answered as established what was asked after this replica's hold.
     pub read_established: bool,
     /// It answered, past its own hold, what was asked after this replica's hold.
-    pub read_settled: bool,
-    pub marks: Marks,
+    pub read_after_hold: bool,
+    pub seq_translation: SeqTranslation,
     /// What it was last told of its log.
-    pub told: Option<ReplicaReport>,
+    pub last_sent_report: Option<ReplicaReport>,
     /// The last answer to it left then.
     pub answered_at: Option<Duration>,
 }
 
 impl Peer {
     /// Another log is read from its start.
-    pub fn follow(&mut self, log: &LogId) {
+    pub fn reset_to_log(&mut self, log: &LogId) {
         self.log = Some(log.clone());
         self.since = Sequence(0);
-        self.whole = Sequence(0);
+        self.acknowledged = Sequence(0);
         self.report = None;
-        self.marks.clear();
+        self.seq_translation.clear();
     }
 
     /// Takes what a whole answer says beside its records.
-    pub fn take_report(&mut self, answer: &PollAnswer, sent_at: Duration, own_log: &LogId) {
+    pub fn store_report(&mut self, answer: &PollAnswer, sent_at: Duration, own_log: &LogId) {
         let report = answer.report.as_ref().filter(|report| report.log == *own_log);
-        self.report = Some(TakenReport {
+        self.report = Some(ReceivedReport {
             sent_at,
             standing: answer.standing,
             as_of: answer.seq,
@@ -75,7 +75,7 @@
     }
 
     /// The last report, if it was asked for at `oldest` or later by an established peer.
-    pub fn fresh(&self, oldest: Duration) -> Option<&TakenReport> {
+    pub fn recent_report(&self, oldest: Duration) -> Option<&ReceivedReport> {
         self.report.as_ref().filter(|report| report.sent_at >= oldest && report.standing.is_established())
     }
 }
@@ -85,9 +85,9 @@
 
 /// What the `count` peers that read most have all read of this log, by reports asked for at `oldest` or later; none:
 /// fewer were heard.
-pub(crate) fn read_by(peers: &Peers, count: usize, oldest: Duration) -> Option<Sequence> {
-    let fresh = peers.values().filter_map(|peer| peer.fresh(oldest));
-    let mut read: Vec<Sequence> = fresh.map(|report| report.read).collect();
+pub(crate) fn seq_read_by(peers: &Peers, count: usize, oldest: Duration) -> Option<Sequence> {
+    let recent_report = peers.values().filter_map(|peer| peer.recent_report(oldest));
+    let mut read: Vec<Sequence> = recent_report.map(|report| report.read).collect();
     read.sort_unstable_by(|one, other| other.cmp(one));
     match count.checked_sub(1) {
         None => Some(Sequence(u64::MAX)),
--- a/crates/replication/src/poll.rs
+++ b/crates/replication/src/poll.rs
@@ -1,6 +1,6 @@
 //! Polls and answers: the change log's own long poll with more fields.
 //!
-//! `GET /changes?since=N&timeout=MS&log=ID&whole=W&role=dispatcher&name=NAME&incarnation=MS&attachment=K` is answered by
+//! `GET /changes?since=N&timeout=MS&log=ID&acknowledged=W&role=dispatcher&name=NAME&incarnation=MS&attachment=K` is answered by
 //! `{"log":"ID","seq":LAST,"attached":true,"results":[events...]}`.
 
 use crate::errors::{AnswerError, PollError};
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 /// Bytes of a name.
-pub(crate) const NAME_MOST: usize = 255;
+pub(crate) const MAX_NAME_BYTES: usize = 255;
 /// Characters of a value that an error repeats.
-const VALUE_TOLD: usize = 64;
+const MAX_ERROR_VALUE_CHARS: usize = 64;
 
 /// Who polls.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,12 +44,12 @@
 /// A poll as its query says it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollRequest {
-    /// The log in which `since` and `whole` count; none at the first poll.
+    /// The log in which `since` and `acknowledged` count; none at the first poll.
     pub log: Option<LogId>,
     /// What is above it is asked for; all answers up to it were taken.
     pub since: Sequence,
     /// The `seq` of the last answer without `more`: all that the log held then is applied.
-    pub whole: Sequence,
+    pub acknowledged: Sequence,
     /// How long the replica may keep the poll without news.
     pub timeout: Duration,
     /// Who polls.
@@ -97,7 +97,7 @@
     pub log: LogId,
     /// The poller's next `since`.
     pub seq: Sequence,
-    /// There is more above `seq`: it doesn't become `whole`.
+    /// There is more above `seq`: it doesn't become `acknowledged`.
     #[serde(default, skip_serializing_if = "is_false")]
     pub more: bool,
     /// The poller's attach is complete: it is in doubt no more, for the doubt span from when it sent this poll.
@@ -135,21 +135,21 @@
             None => Poller::Reader,
             Some("probe") => Poller::Probe,
             Some("dispatcher") => Poller::Dispatcher {
-                name: MemberName(fields.needed("name")?),
-                incarnation: Incarnation(fields.needed_number("incarnation")?),
-                attachment: Attachment(fields.needed_number("attachment")?),
+                name: MemberName(fields.required("name")?),
+                incarnation: Incarnation(fields.required_number("incarnation")?),
+                attachment: Attachment(fields.required_number("attachment")?),
                 leaving: fields.text("leaving").is_some(),
             },
             Some("replica") => Poller::Replica {
-                name: ReplicaName(fields.needed("name")?),
-                own_log: LogId(fields.needed("own_log")?),
+                name: ReplicaName(fields.required("name")?),
+                own_log: LogId(fields.required("own_log")?),
             },
-            Some(other) => return Err(unreadable("role", other, "dispatcher, replica, probe, or none")),
+            Some(other) => return Err(invalid("role", other, "dispatcher, replica, probe, or none")),
         };
         Ok(Self {
             log: fields.text("log").map(LogId::from),
             since: Sequence(fields.number("since")?.unwrap_or(0)),
-            whole: Sequence(fields.number("whole")?.unwrap_or(0)),
+            acknowledged: Sequence(fields.number("whole")?.unwrap_or(0)),
             timeout: Duration::from_millis(fields.number("timeout")?.unwrap_or(0)),
             poller,
         })
@@ -166,7 +166,7 @@
         };
         if let Some(log) = &self.log {
             add("log", &log.0);
-            add("whole", &self.whole.to_string());
+            add("whole", &self.acknowledged.to_string());
         }
         match &self.poller {
             Poller::Reader => {}
@@ -231,7 +231,7 @@
         for part in query.split('&').filter(|part| !part.is_empty()) {
             let (field, value) = part.split_once('=').unwrap_or((part, ""));
             let decoded =
-                decode(value).ok_or_else(|| unreadable("value", value, "text in UTF-8, percent-encoded"))?;
+                decode(value).ok_or_else(|| invalid("value", value, "text in UTF-8, percent-encoded"))?;
             fields.insert(field.to_owned(), decoded);
         }
         Ok(Self(fields))
@@ -241,11 +241,11 @@
         self.0.get(field).map(String::as_str)
     }
 
-    fn needed(&self, field: &'static str) -> Result<String, PollError> {
+    fn required(&self, field: &'static str) -> Result<String, PollError> {
         let text = self.text(field).filter(|text| !text.is_empty());
-        let text = text.ok_or(PollError::Missing(field))?;
-        if text.len() > NAME_MOST {
-            return Err(unreadable(field, text, "a name of 255 bytes at most"));
+        let text = text.ok_or(PollError::MissingField(field))?;
+        if text.len() > MAX_NAME_BYTES {
+            return Err(invalid(field, text, "a name of 255 bytes at most"));
         }
         Ok(text.to_owned())
     }
@@ -254,18 +254,18 @@
         let Some(text) = self.text(field) else {
             return Ok(None);
         };
-        let number = text.parse().map_err(|_| unreadable(field, text, "a whole number"))?;
+        let number = text.parse().map_err(|_| invalid(field, text, "a whole number"))?;
         Ok(Some(number))
     }
 
-    fn needed_number(&self, field: &'static str) -> Result<u64, PollError> {
-        self.number(field)?.ok_or(PollError::Missing(field))
+    fn required_number(&self, field: &'static str) -> Result<u64, PollError> {
+        self.number(field)?.ok_or(PollError::MissingField(field))
     }
 }
 
-fn unreadable(field: &'static str, value: &str, wanted: &'static str) -> PollError {
-    let value = value.chars().take(VALUE_TOLD).collect();
-    PollError::Unreadable { field, value, wanted }
+fn invalid(field: &'static str, value: &str, expected: &'static str) -> PollError {
+    let value = value.chars().take(MAX_ERROR_VALUE_CHARS).collect();
+    PollError::InvalidField { field, value, expected }
 }
 
 /// Percent-encodes all but what RFC 3986 leaves unreserved.
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -246,9 +246,9 @@
     ///     let name = "limits".to_owned();
     ///     Record::Configuration(Configuration { name, version: Version(version), body: true.into() })
     /// };
-    /// assert!(edition(3).stamp_cmp(&edition(2)).is_gt());
+    /// assert!(edition(3).cmp_precedence(&edition(2)).is_gt());
     /// ```
-    pub fn stamp_cmp(&self, other: &Self) -> Ordering {
+    pub fn cmp_precedence(&self, other: &Self) -> Ordering {
         match (self, other) {
             (Self::Purge(ours), Self::Purge(theirs)) => ours.unix_ms.cmp(&theirs.unix_ms),
             (Self::HostLine(ours), Self::HostLine(theirs)) => {
@@ -257,7 +257,7 @@
             (Self::Configuration(ours), Self::Configuration(theirs)) => {
                 versions_cmp((ours.version, &ours.body), (theirs.version, &theirs.body))
             }
-            (Self::Member(ours), Self::Member(theirs)) => ours.stamp().cmp(&theirs.stamp()),
+            (Self::Member(ours), Self::Member(theirs)) => ours.precedence().cmp(&theirs.precedence()),
             _ => self.name().cmp(&other.name()),
         }
     }
@@ -289,7 +289,7 @@
 
 impl Member {
     /// The stamp: of two records of one member the greater one wins.
-    pub fn stamp(&self) -> (Incarnation, Attachment, &MemberState) {
+    pub fn precedence(&self) -> (Incarnation, Attachment, &MemberState) {
         (self.incarnation, self.attachment, &self.state)
     }
 
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -4,18 +4,18 @@
 mod joining;
 mod polls;
 
-use crate::checks::{check_name, longer, millis};
+use crate::checks::{check_longer, check_name, millis};
 use crate::compacted_log::{Audience, CompactedLog};
 use crate::errors::{AnswerError, ConfigurationError, PollError, PublishError};
-use crate::members::{Elsewhere, Sessions};
-use crate::peers::{OpenAsk, Peer, Peers};
+use crate::members::{RemoteMembers, Sessions};
+use crate::peers::{OpenPoll, Peer, Peers};
 use crate::poll::{PollAnswer, PollRequest, Poller, ReplicaStanding};
 use crate::record::{
     Attachment, Incarnation, LogId, Member, MemberName, MemberState, Record, RecordName, ReplicaName,
     Sequence,
 };
-use crate::waiting::{Waiting, Whose};
-use crate::watermark::{Claimed, Verdict};
+use crate::waiting::{PollOwner, WaitingPolls};
+use crate::watermark::{ClaimedWatermark, Verdict};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -37,31 +37,31 @@
     /// An answer to one poller leaves at the earliest this long after the one before.
     pub batch_interval: Duration,
     /// Records in one answer.
-    pub batch_most: usize,
+    pub max_batch_records: usize,
     /// How long a poll of a peer may wait there.
     pub peer_timeout: Duration,
     /// A poll of a peer is given up this long after its timeout.
-    pub peer_patience: Duration,
+    pub peer_timeout_margin: Duration,
     /// Between a poll that failed and the next.
-    pub peer_retry: Duration,
+    pub peer_retry_delay: Duration,
     /// Purges older than this are older than any copy: they are dropped.
-    pub purge_span: Duration,
+    pub purge_retention: Duration,
     /// How far ahead of this replica's clock a purge may be.
-    pub clock_ahead_most: Duration,
+    pub max_clock_ahead: Duration,
     /// The dispatchers' doubt span: see [`SubscriberConfig::doubt_after`](crate::SubscriberConfig::doubt_after).
     pub doubt_after: Duration,
     /// A silent member is held for gone after this.
     pub member_lease: Duration,
     /// A member that left is forgotten after this.
-    pub forget_left: Duration,
+    pub left_member_retention: Duration,
     /// Answers of peers count in a majority for this long after they were asked for.
     pub quorum_window: Duration,
     /// A started replica counts in no majority for this long, and until it has read its peers after that.
     pub start_up_hold: Duration,
     /// Members that are known at most.
-    pub members_most: usize,
+    pub max_members: usize,
     /// Records that are known at most, members aside.
-    pub records_most: usize,
+    pub max_records: usize,
     /// All on, except in proofs.
     pub defences: ReplicaDefences,
 }
@@ -75,19 +75,19 @@
             peers,
             incarnation,
             batch_interval: Duration::from_millis(100),
-            batch_most: 5000,
+            max_batch_records: 5000,
             peer_timeout: Duration::from_secs(1),
-            peer_patience: Duration::from_secs(1),
-            peer_retry: Duration::from_millis(200),
-            purge_span: Duration::from_secs(24 * 3600),
-            clock_ahead_most: Duration::from_secs(10),
+            peer_timeout_margin: Duration::from_secs(1),
+            peer_retry_delay: Duration::from_millis(200),
+            purge_retention: Duration::from_secs(24 * 3600),
+            max_clock_ahead: Duration::from_secs(10),
             doubt_after: Duration::from_secs(3),
             member_lease: Duration::from_secs(10),
-            forget_left: Duration::from_secs(24 * 3600),
+            left_member_retention: Duration::from_secs(24 * 3600),
             quorum_window: Duration::from_secs(3),
             start_up_hold: Duration::from_secs(5),
-            members_most: 4096,
-            records_most: 2_000_000,
+            max_members: 4096,
+            max_records: 2_000_000,
             defences: ReplicaDefences::default(),
         }
     }
@@ -101,7 +101,7 @@
             attach_quorum: true,
             claim_quorum: true,
             start_up_hold: true,
-            whole_answers: true,
+            complete_answers: true,
         }
     }
 }
@@ -120,18 +120,18 @@
     /// A started replica is held. Off: it counts at once.
     pub start_up_hold: bool,
     /// Only whole answers are acknowledged. Off: each is.
-    pub whole_answers: bool,
+    pub complete_answers: bool,
 }
 
 /// A poll to send to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerAsk {
+pub struct PeerPoll {
     /// The peer.
     pub to: ReplicaName,
     /// The poll.
     pub request: PollRequest,
-    /// Without an answer until then, tell [`Replica::peer_failed`].
-    pub give_up_at: Duration,
+    /// Without an answer until then, tell [`Replica::on_peer_failure`].
+    pub deadline: Duration,
 }
 
 /// A member as an operator sees it.
@@ -189,13 +189,13 @@
 }
 
 /// The longest that a poll may ask to wait.
-const TIMEOUT_MOST: Duration = Duration::from_secs(60);
+const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(60);
 /// Dispatchers that a report names.
-const LAGGARDS_TOLD: usize = 8;
+const MAX_REPORTED_LAGGING: usize = 8;
 /// A dispatcher that holds a report back for longer is named in it.
 const LAGGING_AFTER: Duration = Duration::from_millis(500);
 /// Two polls of one peer are at least this part of a batch interval apart, also if it answers at once.
-const ASK_GAPS_IN_BATCH: u32 = 10;
+const PEER_POLLS_PER_BATCH_INTERVAL: u32 = 10;
 
 /// A replica.
 ///
@@ -219,17 +219,17 @@
     standing: ReplicaStanding,
     log: CompactedLog,
     sessions: Sessions,
-    elsewhere: Elsewhere,
+    remote_members: RemoteMembers,
     peers: Peers,
-    waiting: Waiting,
-    claimed: Claimed,
+    waiting_polls: WaitingPolls,
+    claimed_watermark: ClaimedWatermark,
     counters: ReplicaCounters,
 }
 
 impl Replica {
     /// A replica that knows nothing yet.
     pub fn new(config: ReplicaConfig, now: Duration) -> Result<Self, ConfigurationError> {
-        check(&config)?;
+        check_config(&config)?;
         let peers = config.peers.iter().map(|name| (name.clone(), Peer::default())).collect();
         let mut replica = Self {
             config,
@@ -237,13 +237,13 @@
             standing: ReplicaStanding::Starting,
             log: CompactedLog::default(),
             sessions: Sessions::default(),
-            elsewhere: Elsewhere::default(),
+            remote_members: RemoteMembers::default(),
             peers,
-            waiting: Waiting::default(),
-            claimed: Claimed::default(),
+            waiting_polls: WaitingPolls::default(),
+            claimed_watermark: ClaimedWatermark::default(),
             counters: ReplicaCounters::default(),
         };
-        replica.settle(now);
+        replica.update_standing(now);
         Ok(replica)
     }
 
@@ -256,7 +256,7 @@
         }
         self.counters.published += 1;
         let seq = self.join(record, now);
-        self.claim(now);
+        self.update_claimed_watermark(now);
         Ok(seq)
     }
 
@@ -266,33 +266,33 @@
         self.counters.polls += 1;
         match request.poller.clone() {
             Poller::Probe => {
-                self.wait_at_once(id, Whose::Probe(id), now);
+                self.answer_immediately(id, PollOwner::Probe(id), now);
                 Ok(())
             }
-            Poller::Reader => self.take_position(id, Whose::Reader(id), &request, None, now),
-            Poller::Replica { name, .. } => self.poll_of_peer(id, &name, &request, now),
+            Poller::Reader => self.enqueue_poll(id, PollOwner::Reader(id), &request, None, now),
+            Poller::Replica { name, .. } => self.on_peer_poll(id, &name, &request, now),
             Poller::Dispatcher { name, incarnation, attachment, leaving } => {
                 let state = MemberState::AttachedAt(self.config.name.clone());
                 let member = Member { name, incarnation, attachment, state };
-                self.poll_of_member(id, member, leaving, &request, now)
+                self.on_dispatcher_poll(id, member, leaving, &request, now)
             }
         }
     }
 
     /// The poller hung up.
     pub fn cancel(&mut self, id: PollId) {
-        self.waiting.take(id);
+        self.waiting_polls.remove(id);
     }
 
     /// An answer that is due. A poll that was replaced by a newer one of the same poller gets none.
     pub fn next_answer(&mut self, now: Duration) -> Option<(PollId, PollAnswer)> {
-        let (id, poll) = self.waiting.due(now)?;
-        let answer = match &poll.whose {
-            Whose::Probe(_) => self.bare_answer(poll.since),
-            Whose::Superseded(_) => PollAnswer { superseded: true, ..self.bare_answer(poll.since) },
-            Whose::Reader(_) => self.answer(poll.since, Audience::Dispatchers),
-            Whose::Member(name) => self.answer_member(name, poll.since, now),
-            Whose::Peer(name) => self.answer_peer(name, poll.since, now),
+        let (id, poll) = self.waiting_polls.pop_due(now)?;
+        let answer = match &poll.owner {
+            PollOwner::Probe(_) => self.bare_answer(poll.since),
+            PollOwner::Superseded(_) => PollAnswer { superseded: true, ..self.bare_answer(poll.since) },
+            PollOwner::Reader(_) => self.answer(poll.since, Audience::Dispatchers),
+            PollOwner::Member(name) => self.answer_member(name, poll.since, now),
+            PollOwner::Peer(name) => self.answer_peer(name, poll.since, now),
         };
         self.counters.answers += 1;
         self.counters.records_told += answer.results.len() as u64;
@@ -301,109 +301,112 @@
 
     /// A poll that is to be sent to a peer now. One poll of a peer is open at a time; one that was to be given up by now
     /// counts as failed.
-    pub fn next_ask(&mut self, now: Duration) -> Option<PeerAsk> {
-        let is_over = |peer: &Peer| peer.open.as_ref().is_some_and(|open| now >= open.give_up_at);
-        let over = self.peers.iter().find(|(_, peer)| is_over(peer)).map(|(name, _)| name.clone());
+    pub fn next_poll(&mut self, now: Duration) -> Option<PeerPoll> {
+        let is_superseded =
+            |peer: &Peer| peer.open_poll.as_ref().is_some_and(|open_poll| now >= open_poll.deadline);
+        let over = self.peers.iter().find(|(_, peer)| is_superseded(peer)).map(|(name, _)| name.clone());
         if let Some(name) = over {
-            self.peer_failed(&name, now);
+            self.on_peer_failure(&name, now);
         }
-        let timeout = self.ask_timeout();
-        let gap = self.config.batch_interval / ASK_GAPS_IN_BATCH;
+        let timeout = self.peer_poll_timeout();
+        let gap = self.config.batch_interval / PEER_POLLS_PER_BATCH_INTERVAL;
         let (name, peer) =
-            self.peers.iter_mut().find(|(_, peer)| peer.open.is_none() && peer.ask_at <= now)?;
-        let give_up_at = now + timeout + self.config.peer_patience;
-        peer.open = Some(OpenAsk { sent_at: now, since: peer.since, give_up_at });
-        peer.ask_at = now + gap;
+            self.peers.iter_mut().find(|(_, peer)| peer.open_poll.is_none() && peer.next_poll_at <= now)?;
+        let deadline = now + timeout + self.config.peer_timeout_margin;
+        peer.open_poll = Some(OpenPoll { sent_at: now, since: peer.since, deadline });
+        peer.next_poll_at = now + gap;
         let own_log = self.config.log.clone();
         let request = PollRequest {
             log: peer.log.clone(),
             since: peer.since,
-            whole: peer.whole,
+            acknowledged: peer.acknowledged,
             timeout,
             poller: Poller::Replica { name: self.config.name.clone(), own_log },
         };
-        Some(PeerAsk { to: name.clone(), request, give_up_at })
+        Some(PeerPoll { to: name.clone(), request, deadline })
     }
 
     /// Takes the answer to the open poll of a peer.
     ///
     /// A whole answer says in one message what the peer knew, what it had read of this log, and what its dispatchers had
     /// applied of it: all as of the moment it was made, which is after the poll was sent.
-    pub fn peer_answered(
+    pub fn on_peer_answer(
         &mut self,
         name: &ReplicaName,
         answer: PollAnswer,
         now: Duration,
     ) -> Result<(), AnswerError> {
         let peer = self.peers.get_mut(name).ok_or_else(|| AnswerError::UnknownReplica(name.clone()))?;
-        let open = peer.open.take().ok_or_else(|| AnswerError::NotAsked(name.clone()))?;
+        let open_poll = peer.open_poll.take().ok_or_else(|| AnswerError::Unsolicited(name.clone()))?;
         let other_log = peer.log.as_ref() != Some(&answer.log);
-        let from = if other_log || answer.seq < open.since { Sequence(0) } else { open.since };
+        let from = if other_log || answer.seq < open_poll.since { Sequence(0) } else { open_poll.since };
         check_order(name, &answer, from)?;
         if other_log {
-            peer.follow(&answer.log);
-            self.elsewhere.other_log(name);
+            peer.reset_to_log(&answer.log);
+            self.remote_members.forget_seqs(name);
         }
         self.counters.peer_answers += 1;
         for event in &answer.results {
-            self.take_event(name, event, now);
+            self.merge_peer_event(name, event, now);
         }
-        self.take_peer_answer(name, &answer, open.sent_at, now);
-        self.settle(now);
-        self.secure(now);
-        self.claim(now);
+        self.apply_peer_answer(name, &answer, open_poll.sent_at, now);
+        self.update_standing(now);
+        self.confirm_attaches(now);
+        self.update_claimed_watermark(now);
         Ok(())
     }
 
     /// The open poll of a peer has failed, or was given up.
-    pub fn peer_failed(&mut self, name: &ReplicaName, now: Duration) {
+    pub fn on_peer_failure(&mut self, name: &ReplicaName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.open = None;
-            peer.ask_at = now + self.config.peer_retry;
+            peer.open_poll = None;
+            peer.next_poll_at = now + self.config.peer_retry_delay;
             self.counters.peer_failures += 1;
         }
     }
 
     /// Lets leases expire, drops what is too old, ends the start-up hold.
     pub fn tick(&mut self, now: Duration) {
-        self.expire(now);
+        self.expire_leases(now);
         let unix_ms = self.unix_ms(now);
-        let oldest = unix_ms.saturating_sub(millis(self.config.purge_span));
+        let oldest = unix_ms.saturating_sub(millis(self.config.purge_retention));
         self.counters.dropped += self.log.drop_purges_before(oldest);
-        let left = unix_ms.saturating_sub(millis(self.config.forget_left));
-        self.log.forget_left_before(left);
-        self.settle(now);
-        self.claim(now);
+        let left = unix_ms.saturating_sub(millis(self.config.left_member_retention));
+        self.log.drop_members_left_before(left);
+        self.update_standing(now);
+        self.update_claimed_watermark(now);
     }
 
-    /// When [`Replica::tick`], [`Replica::next_ask`] or [`Replica::next_answer`] has something to do next, if nothing
+    /// When [`Replica::tick`], [`Replica::next_poll`] or [`Replica::next_answer`] has something to do next, if nothing
     /// comes in. Purges are dropped at the next call of `tick` for another reason.
-    pub fn next_wake(&self) -> Option<Duration> {
-        let ask_at = |peer: &Peer| peer.open.as_ref().map_or(peer.ask_at, |open| open.give_up_at);
-        let ask = self.peers.values().map(ask_at).min();
-        let expiry = self.sessions.longest_silent().map(|(heard_at, _)| heard_at + self.config.member_lease);
+    pub fn next_wakeup(&self) -> Option<Duration> {
+        let next_poll_at =
+            |peer: &Peer| peer.open_poll.as_ref().map_or(peer.next_poll_at, |open_poll| open_poll.deadline);
+        let ask = self.peers.values().map(next_poll_at).min();
+        let expiry =
+            self.sessions.longest_silent().map(|(last_poll_at, _)| last_poll_at + self.config.member_lease);
         let hold = self.started_at + self.config.start_up_hold;
         let hold = (self.standing == ReplicaStanding::Starting).then_some(hold);
-        [ask, expiry, hold, self.waiting.next_due()].into_iter().flatten().min()
+        [ask, expiry, hold, self.waiting_polls.next_answer_at()].into_iter().flatten().min()
     }
 
     /// Whether the record of this name is in force at every dispatcher that is not in doubt.
     pub fn in_force(&mut self, name: &RecordName, now: Duration) -> Verdict {
-        self.claim(now);
+        self.update_claimed_watermark(now);
         let Some(entry) = self.log.get(name) else {
             return Verdict::Unknown;
         };
-        let (seq, taken_at) = (entry.seq, entry.taken_at);
-        match self.claimed.at(seq) {
+        let (seq, added_at) = (entry.seq, entry.added_at);
+        match self.claimed_watermark.at(seq) {
             Some(at) => Verdict::InForce { at },
-            None => Verdict::Outstanding(self.outstanding(seq, taken_at, now)),
+            None => Verdict::Outstanding(self.outstanding(seq, added_at, now)),
         }
     }
 
     /// All of this replica's log up to here is in force.
     pub fn fleet_watermark(&mut self, now: Duration) -> Sequence {
-        self.claim(now);
-        self.claimed.seq()
+        self.update_claimed_watermark(now);
+        self.claimed_watermark.seq()
     }
 
     /// All members that are known, in order of their names.
@@ -438,7 +441,7 @@
     }
 }
 
-fn check(config: &ReplicaConfig) -> Result<(), ConfigurationError> {
+fn check_config(config: &ReplicaConfig) -> Result<(), ConfigurationError> {
     check_name("replica's name", &config.name.0)?;
     let mut seen = BTreeSet::new();
     for peer in &config.peers {
@@ -450,19 +453,19 @@
             return Err(ConfigurationError::PeerTwice(peer.clone()));
         }
     }
-    for (what, bound) in [
-        ("the batch of records", config.batch_most),
-        ("the bound on members", config.members_most),
-        ("the bound on records", config.records_most),
+    for (kind, bound) in [
+        ("the batch of records", config.max_batch_records),
+        ("the bound on members", config.max_members),
+        ("the bound on records", config.max_records),
     ] {
         if bound == 0 {
-            return Err(ConfigurationError::Zero(what));
+            return Err(ConfigurationError::Zero(kind));
         }
     }
-    longer(("the member lease", config.member_lease), ("the doubt span", config.doubt_after))?;
-    longer(("the start-up hold", config.start_up_hold), ("the doubt span", config.doubt_after))?;
-    longer(("the start-up hold", config.start_up_hold), ("the quorum window", config.quorum_window))?;
-    longer(("the quorum window", config.quorum_window), ("a peer's timeout", config.peer_timeout))
+    check_longer(("the member lease", config.member_lease), ("the doubt span", config.doubt_after))?;
+    check_longer(("the start-up hold", config.start_up_hold), ("the doubt span", config.doubt_after))?;
+    check_longer(("the start-up hold", config.start_up_hold), ("the quorum window", config.quorum_window))?;
+    check_longer(("the quorum window", config.quorum_window), ("a peer's timeout", config.peer_timeout))
 }
 
 /// Events have to stand in order, above what was asked for and up to `seq`.
--- a/crates/replication/src/replica/joining.rs
+++ b/crates/replication/src/replica/joining.rs
@@ -2,10 +2,10 @@
 
 use super::Replica;
 use crate::checks::millis;
-use crate::compacted_log::Joined;
+use crate::compacted_log::MergeResult;
 use crate::errors::{PublishError, RecordError};
 use crate::members::Session;
-use crate::poll::NAME_MOST;
+use crate::poll::MAX_NAME_BYTES;
 use crate::record::{Event, Member, MemberState, Record, RecordName, ReplicaName, Sequence};
 use std::time::Duration;
 
@@ -17,30 +17,30 @@
             self.check_purge_time(purge.unix_ms, now)?;
         }
         let Some(known) = self.log.get(&name) else {
-            let most = self.config.records_most;
-            return if self.log.news_held() < most { Ok(()) } else { Err(PublishError::Full { most }) };
+            let max = self.config.max_records;
+            return if self.log.data_count() < max { Ok(()) } else { Err(PublishError::Full { max }) };
         };
         let (Some(version), Some(known_version)) = (record.version(), known.record.version()) else {
             return Ok(());
         };
-        let (what, name) = (record.kind(), plain_name(&name));
+        let (kind, name) = (record.kind(), name_text(&name));
         if record.conflicts_with(&known.record) {
-            return Err(RecordError::Conflict { what, name, version }.into());
+            return Err(RecordError::Conflict { kind, name, version }.into());
         }
         if version < known_version {
-            return Err(PublishError::Older { what, name, version, known: known_version });
+            return Err(PublishError::Older { kind, name, version, known: known_version });
         }
         Ok(())
     }
 
     pub(super) fn check_purge_time(&self, unix_ms: u64, now: Duration) -> Result<(), PublishError> {
-        let here = self.unix_ms(now);
-        let oldest = here.saturating_sub(millis(self.config.purge_span));
+        let now_unix_ms = self.unix_ms(now);
+        let oldest = now_unix_ms.saturating_sub(millis(self.config.purge_retention));
         if unix_ms < oldest {
             return Err(PublishError::PurgeTooOld { unix_ms, oldest });
         }
-        let ahead_ms = unix_ms.saturating_sub(here);
-        if ahead_ms > millis(self.config.clock_ahead_most) {
+        let ahead_ms = unix_ms.saturating_sub(now_unix_ms);
+        if ahead_ms > millis(self.config.max_clock_ahead) {
             return Err(PublishError::PurgeAhead { unix_ms, ahead_ms });
         }
         Ok(())
@@ -53,37 +53,37 @@
             _ => None,
         };
         let seq = match self.log.join(record, now) {
-            Joined::Known(seq) => {
+            MergeResult::Known(seq) => {
                 self.counters.known_already += 1;
                 return seq;
             }
-            Joined::Changed(seq) => seq,
+            MergeResult::Changed(seq) => seq,
         };
         self.counters.joined += 1;
         if let Some(member) = &member {
-            self.member_changed(member, seq, now);
+            self.on_member_changed(member, seq, now);
         }
-        self.waiting.wake_all(member.is_some());
+        self.waiting_polls.on_record_added(member.is_some());
         seq
     }
 
-    pub(super) fn member_changed(&mut self, member: &Member, seq: Sequence, now: Duration) {
+    pub(super) fn on_member_changed(&mut self, member: &Member, seq: Sequence, now: Duration) {
         let name = &member.name;
         self.sessions.close(name);
-        self.elsewhere.remove(name);
+        self.remote_members.remove(name);
         match member.replica() {
             Some(replica) if *replica == self.config.name => {
                 self.sessions.open(name, Session::new(seq, now));
             }
-            Some(replica) => self.elsewhere.attached(name, replica),
+            Some(replica) => self.remote_members.attached(name, replica),
             None => {}
         }
-        self.wake_peers_with_reports(now);
+        self.notify_peers_of_report_changes(now);
     }
 
     /// Takes a record of a peer's log.
-    pub(super) fn take_event(&mut self, peer: &ReplicaName, event: &Event, now: Duration) {
-        if self.is_too_old(&event.record, now) {
+    pub(super) fn merge_peer_event(&mut self, peer: &ReplicaName, event: &Event, now: Duration) {
+        if self.is_expired(&event.record, now) {
             return;
         }
         let known = self.log.get(&event.record.name());
@@ -94,15 +94,15 @@
             && member.replica() == Some(peer)
             && self.log.member(&member.name) == Some(member)
         {
-            self.elsewhere.read_at(&member.name, peer, event.seq);
+            self.remote_members.set_seq(&member.name, peer, event.seq);
         }
     }
 
-    pub(super) fn is_too_old(&self, record: &Record, now: Duration) -> bool {
+    pub(super) fn is_expired(&self, record: &Record, now: Duration) -> bool {
         let span = match record {
-            Record::Purge(purge) => Some((purge.unix_ms, self.config.purge_span)),
+            Record::Purge(purge) => Some((purge.unix_ms, self.config.purge_retention)),
             Record::Member(Member { state: MemberState::Left(at), .. }) => {
-                Some((*at, self.config.forget_left))
+                Some((*at, self.config.left_member_retention))
             }
             _ => None,
         };
@@ -110,9 +110,9 @@
     }
 
     /// Members whose leases are over have left.
-    pub(super) fn expire(&mut self, now: Duration) {
-        while let Some((heard_at, name)) = self.sessions.longest_silent()
-            && now >= heard_at + self.config.member_lease
+    pub(super) fn expire_leases(&mut self, now: Duration) {
+        while let Some((last_poll_at, name)) = self.sessions.longest_silent()
+            && now >= last_poll_at + self.config.member_lease
         {
             let name = name.clone();
             let Some(member) = self.log.member(&name).cloned() else {
@@ -127,22 +127,20 @@
 }
 
 fn check_record_name(name: &RecordName) -> Result<(), PublishError> {
-    let plain = match name {
+    let text = match name {
         RecordName::Member(member) => return Err(PublishError::Member(member.clone())),
         RecordName::Group(_) => return Ok(()),
-        RecordName::Object(plain) | RecordName::Host(plain) | RecordName::Configuration(plain) => plain,
+        RecordName::Object(text) | RecordName::Host(text) | RecordName::Configuration(text) => text,
     };
-    let length = plain.len();
-    let fits = (1..=NAME_MOST).contains(&length);
-    if fits { Ok(()) } else { Err(PublishError::Name { length, most: NAME_MOST }) }
+    let length = text.len();
+    let fits = (1..=MAX_NAME_BYTES).contains(&length);
+    if fits { Ok(()) } else { Err(PublishError::Name { length, max: MAX_NAME_BYTES }) }
 }
 
-fn plain_name(name: &RecordName) -> String {
+fn name_text(name: &RecordName) -> String {
     match name {
         RecordName::Group(group) => group.to_string(),
         RecordName::Member(member) => member.0.clone(),
-        RecordName::Object(plain) | RecordName::Host(plain) | RecordName::Configuration(plain) => {
-            plain.clone()
-        }
+        RecordName::Object(text) | RecordName::Host(text) | RecordName::Configuration(text) => text.clone(),
     }
 }
--- a/crates/replication/src/subscriber.rs
+++ b/crates/replication/src/subscriber.rs
@@ -1,7 +1,7 @@
 //! The dispatcher's side: which replica to poll, what to apply, and whether to be in doubt.
 
-use crate::checks::{check_name, longer, millis};
-use crate::compacted_log::{CompactedLog, Joined};
+use crate::checks::{check_longer, check_name, millis};
+use crate::compacted_log::{CompactedLog, MergeResult};
 use crate::errors::{AnswerError, ConfigurationError};
 use crate::poll::{PollAnswer, PollRequest, Poller, ReplicaStanding};
 use crate::record::{Attachment, Event, Incarnation, LogId, MemberName, Record, ReplicaName, Sequence};
@@ -21,13 +21,13 @@
     /// How long a poll may wait at the replica.
     pub poll_timeout: Duration,
     /// A poll is given up this long after its timeout.
-    pub poll_patience: Duration,
+    pub poll_timeout_margin: Duration,
     /// Between a poll that failed and the next.
     pub retry: Duration,
     /// An attached dispatcher is in doubt this long after it sent the last poll whose answer said `attached`.
     pub doubt_after: Duration,
     /// Another replica is tried if an attach is not complete after this; doubled each time.
-    pub attach_patience: Duration,
+    pub attach_timeout: Duration,
     /// At the fallback: between two probes of the primary.
     pub probe_interval: Duration,
     /// The primary has to answer probes for this long before the dispatcher goes back to it.
@@ -35,7 +35,7 @@
     /// A random span up to this is added, so that a fleet doesn't move at once.
     pub return_jitter: Duration,
     /// Purges older than this are older than any copy: they are not kept.
-    pub purge_span: Duration,
+    pub purge_retention: Duration,
     /// The seed of that chance.
     pub seed: u64,
     /// All on, except in proofs.
@@ -56,14 +56,14 @@
             primary,
             fallback,
             poll_timeout: Duration::from_secs(1),
-            poll_patience: Duration::from_millis(500),
+            poll_timeout_margin: Duration::from_millis(500),
             retry: Duration::from_millis(200),
             doubt_after: Duration::from_secs(3),
-            attach_patience: Duration::from_secs(6),
+            attach_timeout: Duration::from_secs(6),
             probe_interval: Duration::from_secs(1),
             return_after: Duration::from_secs(10),
             return_jitter: Duration::from_secs(20),
-            purge_span: Duration::from_secs(24 * 3600),
+            purge_retention: Duration::from_secs(24 * 3600),
             seed: 0,
             defences: SubscriberDefences::default(),
         }
@@ -87,22 +87,22 @@
 
 /// A poll to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct SubscriberPoll {
     /// The replica.
     pub to: ReplicaName,
     /// The poll.
     pub request: PollRequest,
-    /// Without an answer until then, tell [`Subscriber::failed`].
-    pub give_up_at: Duration,
+    /// Without an answer until then, tell [`Subscriber::on_failure`].
+    pub deadline: Duration,
 }
 
 /// What an answer brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
-    /// Records that are new here, in order: apply all of them before the next [`Subscriber::next_ask`].
-    pub apply: Vec<Record>,
+pub struct AcceptedAnswer {
+    /// Records that are new here, in order: apply all of them before the next [`Subscriber::next_poll`].
+    pub records: Vec<Record>,
     /// Records that were known already, were older than what is known, or are not for dispatchers.
-    pub passed_over: usize,
+    pub ignored: usize,
 }
 
 /// What a dispatcher's side has done, from its start.
@@ -127,33 +127,33 @@
 }
 
 /// A replica that failed, or was in its start-up hold, is not chosen for this long if the other one is there.
-const BAD_FOR: Duration = Duration::from_secs(2);
+const AVOID_DURATION: Duration = Duration::from_secs(2);
 /// Failures in a row after which a replica is left. One that took all its patience counts as so many.
-const FAILURES_MOST: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 /// The patience with attaches doubles up to this many times the first.
-const PATIENCE_MOST: u32 = 64;
+const MAX_ATTACH_TIMEOUT_FACTOR: u32 = 64;
 
 /// One of the two replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Choice {
+enum ReplicaChoice {
     Primary,
     Fallback,
 }
 
 /// An open poll.
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenPoll {
     sent_at: Duration,
     since: Sequence,
-    give_up_at: Duration,
+    deadline: Duration,
 }
 
 /// What is followed under one attachment.
 #[derive(Clone, Debug, Default)]
-struct Following {
+struct LogPosition {
     log: Option<LogId>,
     since: Sequence,
-    whole: Sequence,
+    acknowledged: Sequence,
 }
 
 /// The dispatcher's side of replication.
@@ -163,67 +163,67 @@
 /// use std::time::Duration;
 /// let config = SubscriberConfig::new("d1".into(), Incarnation(1), "north".into(), Some("south".into()));
 /// let mut subscriber = Subscriber::new(config, Duration::ZERO)?;
-/// assert!(subscriber.in_doubt(Duration::ZERO).is_some());
-/// let ask = subscriber.next_ask(Duration::ZERO).expect("it polls at once");
-/// assert_eq!(ask.to, "north".into());
+/// assert!(subscriber.in_doubt_since(Duration::ZERO).is_some());
+/// let start_poll = subscriber.next_poll(Duration::ZERO).expect("it polls at once");
+/// assert_eq!(start_poll.to, "north".into());
 /// let answer = PollAnswer::from_json(r#"{"log":"north-1","seq":0,"attached":true,"results":[]}"#)?;
-/// let taken = subscriber.answered(&ask.to, answer, Duration::from_millis(20))?;
-/// assert!(taken.apply.is_empty());
-/// assert!(subscriber.in_doubt(Duration::from_millis(20)).is_none());
+/// let accepted = subscriber.on_answer(&start_poll.to, answer, Duration::from_millis(20))?;
+/// assert!(accepted.records.is_empty());
+/// assert!(subscriber.in_doubt_since(Duration::from_millis(20)).is_none());
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 pub struct Subscriber {
     config: SubscriberConfig,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     started_at: Duration,
-    choice: Choice,
+    choice: ReplicaChoice,
     attachment: Attachment,
-    following: Following,
-    open: Option<Open>,
-    ask_at: Duration,
+    position: LogPosition,
+    open_poll: Option<OpenPoll>,
+    next_poll_at: Duration,
     /// When the attach in hand began; none once it is complete.
     attaching_since: Option<Duration>,
-    patience: Duration,
+    attach_timeout: Duration,
     failures: u32,
     /// Until when each is not chosen.
-    primary_bad_until: Duration,
-    fallback_bad_until: Duration,
+    primary_avoided_until: Duration,
+    fallback_avoided_until: Duration,
     probe: Probe,
     /// When the last poll was sent whose answer said that the attach is complete.
-    assured_at: Option<Duration>,
-    known: CompactedLog,
+    attached_as_of: Option<Duration>,
+    log: CompactedLog,
     counters: SubscriberCounters,
 }
 
 /// How the primary does while the fallback is followed.
 #[derive(Clone, Debug, Default)]
 struct Probe {
-    open: Option<Open>,
-    ask_at: Duration,
-    good_since: Option<Duration>,
+    open_poll: Option<OpenPoll>,
+    next_poll_at: Duration,
+    established_since: Option<Duration>,
     return_after: Duration,
 }
 
 impl Subscriber {
     /// A dispatcher that knows nothing yet, and is in doubt.
     pub fn new(config: SubscriberConfig, now: Duration) -> Result<Self, ConfigurationError> {
-        check(&config)?;
+        check_config(&config)?;
         Ok(Self {
-            chance: fastrand::Rng::with_seed(config.seed),
+            rng: fastrand::Rng::with_seed(config.seed),
             started_at: now,
-            choice: Choice::Primary,
+            choice: ReplicaChoice::Primary,
             attachment: Attachment(1),
-            following: Following::default(),
-            open: None,
-            ask_at: now,
+            position: LogPosition::default(),
+            open_poll: None,
+            next_poll_at: now,
             attaching_since: Some(now),
-            patience: config.attach_patience,
+            attach_timeout: config.attach_timeout,
             failures: 0,
-            primary_bad_until: Duration::ZERO,
-            fallback_bad_until: Duration::ZERO,
+            primary_avoided_until: Duration::ZERO,
+            fallback_avoided_until: Duration::ZERO,
             probe: Probe::default(),
-            assured_at: None,
-            known: CompactedLog::default(),
+            attached_as_of: None,
+            log: CompactedLog::default(),
             counters: SubscriberCounters { attachments: 1, ..SubscriberCounters::default() },
             config,
         })
@@ -232,96 +232,97 @@
     /// A poll that is to be sent now. One poll of a replica is open at a time; beside it one probe of the primary may be.
     ///
     /// An open poll that was to be given up by now counts as failed.
-    pub fn next_ask(&mut self, now: Duration) -> Option<Ask> {
-        self.give_up(now);
-        if self.open.is_none() && now >= self.ask_at {
-            return Some(self.ask(now));
+    pub fn next_poll(&mut self, now: Duration) -> Option<SubscriberPoll> {
+        self.fail_overdue_polls(now);
+        if self.open_poll.is_none() && now >= self.next_poll_at {
+            return Some(self.start_poll(now));
         }
-        let probes = self.choice == Choice::Fallback && self.probe.open.is_none();
-        (probes && now >= self.probe.ask_at).then(|| self.ask_probe(now))
+        let probes = self.choice == ReplicaChoice::Fallback && self.probe.open_poll.is_none();
+        (probes && now >= self.probe.next_poll_at).then(|| self.start_probe(now))
     }
 
     /// Takes the answer to the open poll of a replica. All that is to be applied is to be applied before the next
-    /// [`Subscriber::next_ask`], which acknowledges it, and before [`Subscriber::in_doubt`] is asked again.
-    pub fn answered(
+    /// [`Subscriber::next_poll`], which acknowledges it, and before [`Subscriber::in_doubt_since`] is asked again.
+    pub fn on_answer(
         &mut self,
         replica: &ReplicaName,
         answer: PollAnswer,
         now: Duration,
-    ) -> Result<Taken, AnswerError> {
-        if *replica == self.config.primary && self.choice == Choice::Fallback {
-            return self.probe_answered(replica, &answer, now);
+    ) -> Result<AcceptedAnswer, AnswerError> {
+        if *replica == self.config.primary && self.choice == ReplicaChoice::Fallback {
+            return self.on_probe_answer(replica, &answer, now);
         }
         if replica != self.replica() {
-            return Err(AnswerError::NotAsked(replica.clone()));
+            return Err(AnswerError::Unsolicited(replica.clone()));
         }
-        let open = self.open.take().ok_or_else(|| AnswerError::NotAsked(replica.clone()))?;
+        let open_poll = self.open_poll.take().ok_or_else(|| AnswerError::Unsolicited(replica.clone()))?;
         if answer.superseded {
-            self.attach_anew(now);
-            self.ask_at = now + self.config.retry;
-            return Ok(Taken::default());
+            self.start_attachment(now);
+            self.next_poll_at = now + self.config.retry;
+            return Ok(AcceptedAnswer::default());
         }
-        let other_log = self.following.log.as_ref() != Some(&answer.log);
-        let from = if other_log || answer.seq < open.since { Sequence(0) } else { open.since };
+        let other_log = self.position.log.as_ref() != Some(&answer.log);
+        let from = if other_log || answer.seq < open_poll.since { Sequence(0) } else { open_poll.since };
         if let Err(event) = answer.check_order(from) {
-            self.failed_at(open.give_up_at, now);
+            self.on_poll_failed(open_poll.deadline, now);
             return Err(AnswerError::OutOfOrder { replica: replica.clone(), event });
         }
         self.failures = 0;
         self.counters.answers += 1;
-        self.follow(&answer);
-        let taken = self.take_records(answer.results, now);
-        self.take_standing(answer.attached, answer.standing, open.sent_at, now);
-        Ok(taken)
+        self.advance_position(&answer);
+        let accepted = self.accept_records(answer.results, now);
+        self.update_attach(answer.attached, answer.standing, open_poll.sent_at, now);
+        Ok(accepted)
     }
 
     /// The open poll of a replica has failed, or was given up.
-    pub fn failed(&mut self, replica: &ReplicaName, now: Duration) {
+    pub fn on_failure(&mut self, replica: &ReplicaName, now: Duration) {
         if replica == self.replica() {
-            if let Some(open) = self.open.take() {
-                self.failed_at(open.give_up_at, now);
+            if let Some(open_poll) = self.open_poll.take() {
+                self.on_poll_failed(open_poll.deadline, now);
             }
-        } else if *replica == self.config.primary && self.probe.open.take().is_some() {
+        } else if *replica == self.config.primary && self.probe.open_poll.take().is_some() {
             self.counters.failures += 1;
-            self.probe.good_since = None;
-            self.probe.ask_at = now + self.config.probe_interval;
+            self.probe.established_since = None;
+            self.probe.next_poll_at = now + self.config.probe_interval;
         }
     }
 
     /// The last poll, which says that this dispatcher ends. It replaces an open one; no answer is waited for.
-    pub fn leave(&mut self, now: Duration) -> Ask {
-        let mut ask = self.ask(now);
-        if let Poller::Dispatcher { leaving, .. } = &mut ask.request.poller {
+    pub fn leave(&mut self, now: Duration) -> SubscriberPoll {
+        let mut start_poll = self.start_poll(now);
+        if let Poller::Dispatcher { leaving, .. } = &mut start_poll.request.poller {
             *leaving = true;
         }
-        ask
+        start_poll
     }
 
     /// In doubt: since when purges may have been missed. While it lasts, every copy may be purged; after it, all that any
     /// verdict spoke of is applied.
-    pub fn in_doubt(&self, now: Duration) -> Option<Duration> {
-        let Some(assured_at) = self.assured_at else {
+    pub fn in_doubt_since(&self, now: Duration) -> Option<Duration> {
+        let Some(attached_as_of) = self.attached_as_of else {
             return Some(self.started_at);
         };
-        let over = now >= assured_at + self.config.doubt_after;
-        (over && self.config.defences.doubt).then_some(assured_at)
+        let over = now >= attached_as_of + self.config.doubt_after;
+        (over && self.config.defences.doubt).then_some(attached_as_of)
     }
 
     /// The replica that is polled.
     pub fn replica(&self) -> &ReplicaName {
         match (self.choice, &self.config.fallback) {
-            (Choice::Fallback, Some(fallback)) => fallback,
+            (ReplicaChoice::Fallback, Some(fallback)) => fallback,
             _ => &self.config.primary,
         }
     }
 
-    /// When [`Subscriber::next_ask`] has something next, an open poll is to be given up, or doubt begins, if nothing comes
+    /// When [`Subscriber::next_poll`] has something next, an open poll is to be given up, or doubt begins, if nothing comes
     /// in.
-    pub fn next_wake(&self, now: Duration) -> Option<Duration> {
-        let poll = self.open.as_ref().map_or(self.ask_at, |open| open.give_up_at);
-        let probe = self.probe.open.as_ref().map_or(self.probe.ask_at, |open| open.give_up_at);
-        let probe = (self.choice == Choice::Fallback).then_some(probe);
-        let doubt = self.assured_at.map(|at| at + self.config.doubt_after).filter(|at| *at > now);
+    pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
+        let poll = self.open_poll.as_ref().map_or(self.next_poll_at, |open_poll| open_poll.deadline);
+        let probe =
+            self.probe.open_poll.as_ref().map_or(self.probe.next_poll_at, |open_poll| open_poll.deadline);
+        let probe = (self.choice == ReplicaChoice::Fallback).then_some(probe);
+        let doubt = self.attached_as_of.map(|at| at + self.config.doubt_after).filter(|at| *at > now);
         [Some(poll), probe, doubt].into_iter().flatten().min()
     }
 
@@ -333,192 +334,192 @@
 
 /// Polls, and the choice of a replica.
 impl Subscriber {
-    fn give_up(&mut self, now: Duration) {
-        let is_over = |open: &Open| now >= open.give_up_at;
-        if self.open.as_ref().is_some_and(is_over) {
-            self.failed(&self.replica().clone(), now);
+    fn fail_overdue_polls(&mut self, now: Duration) {
+        let is_over = |open_poll: &OpenPoll| now >= open_poll.deadline;
+        if self.open_poll.as_ref().is_some_and(is_over) {
+            self.on_failure(&self.replica().clone(), now);
         }
-        if self.choice == Choice::Fallback && self.probe.open.as_ref().is_some_and(is_over) {
-            self.failed(&self.config.primary.clone(), now);
+        if self.choice == ReplicaChoice::Fallback && self.probe.open_poll.as_ref().is_some_and(is_over) {
+            self.on_failure(&self.config.primary.clone(), now);
         }
     }
 
-    fn ask(&mut self, now: Duration) -> Ask {
+    fn start_poll(&mut self, now: Duration) -> SubscriberPoll {
         let timeout = self.config.poll_timeout;
-        let give_up_at = now + timeout + self.config.poll_patience;
-        self.open = Some(Open { sent_at: now, since: self.following.since, give_up_at });
+        let deadline = now + timeout + self.config.poll_timeout_margin;
+        self.open_poll = Some(OpenPoll { sent_at: now, since: self.position.since, deadline });
         let poller = Poller::Dispatcher {
             name: self.config.name.clone(),
             incarnation: self.config.incarnation,
             attachment: self.attachment,
             leaving: false,
         };
-        let Following { log, since, whole } = self.following.clone();
-        let request = PollRequest { log, since, whole, timeout, poller };
-        Ask { to: self.replica().clone(), request, give_up_at }
+        let LogPosition { log, since, acknowledged } = self.position.clone();
+        let request = PollRequest { log, since, acknowledged, timeout, poller };
+        SubscriberPoll { to: self.replica().clone(), request, deadline }
     }
 
-    fn ask_probe(&mut self, now: Duration) -> Ask {
-        let give_up_at = now + self.config.poll_patience;
-        self.probe.open = Some(Open { sent_at: now, since: Sequence(0), give_up_at });
+    fn start_probe(&mut self, now: Duration) -> SubscriberPoll {
+        let deadline = now + self.config.poll_timeout_margin;
+        self.probe.open_poll = Some(OpenPoll { sent_at: now, since: Sequence(0), deadline });
         let request = PollRequest {
             log: None,
             since: Sequence(0),
-            whole: Sequence(0),
+            acknowledged: Sequence(0),
             timeout: Duration::ZERO,
             poller: Poller::Probe,
         };
-        Ask { to: self.config.primary.clone(), request, give_up_at }
+        SubscriberPoll { to: self.config.primary.clone(), request, deadline }
     }
 
-    fn probe_answered(
+    fn on_probe_answer(
         &mut self,
         replica: &ReplicaName,
         answer: &PollAnswer,
         now: Duration,
-    ) -> Result<Taken, AnswerError> {
-        self.probe.open.take().ok_or_else(|| AnswerError::NotAsked(replica.clone()))?;
-        self.probe.ask_at = now + self.config.probe_interval;
+    ) -> Result<AcceptedAnswer, AnswerError> {
+        self.probe.open_poll.take().ok_or_else(|| AnswerError::Unsolicited(replica.clone()))?;
+        self.probe.next_poll_at = now + self.config.probe_interval;
         if !answer.standing.is_established() {
-            self.probe.good_since = None;
-            return Ok(Taken::default());
+            self.probe.established_since = None;
+            return Ok(AcceptedAnswer::default());
         }
-        let good_since = *self.probe.good_since.get_or_insert(now);
-        if now >= good_since + self.probe.return_after {
+        let established_since = *self.probe.established_since.get_or_insert(now);
+        if now >= established_since + self.probe.return_after {
             self.counters.returns += 1;
-            self.choose(Choice::Primary, now);
+            self.switch_to(ReplicaChoice::Primary, now);
         }
-        Ok(Taken::default())
+        Ok(AcceptedAnswer::default())
     }
 
     /// What the answer says of the attach, and what follows for the choice of a replica.
-    fn take_standing(&mut self, attached: bool, standing: ReplicaStanding, sent_at: Duration, now: Duration) {
-        self.ask_at = now;
+    fn update_attach(&mut self, attached: bool, standing: ReplicaStanding, sent_at: Duration, now: Duration) {
+        self.next_poll_at = now;
         if attached {
-            self.assured_at = self.assured_at.max(Some(sent_at));
+            self.attached_as_of = self.attached_as_of.max(Some(sent_at));
             self.attaching_since = None;
-            self.patience = self.config.attach_patience;
+            self.attach_timeout = self.config.attach_timeout;
             return;
         }
         let since = *self.attaching_since.get_or_insert(now);
         if !standing.is_established() {
-            self.set_bad(now);
-            self.ask_at = now + self.config.retry;
-            self.leave_for_better(now);
-        } else if now >= since + self.patience {
-            let most = self.config.attach_patience * PATIENCE_MOST;
-            self.patience = most.min(self.patience * 2);
+            self.avoid_current(now);
+            self.next_poll_at = now + self.config.retry;
+            self.switch_unless_avoided(now);
+        } else if now >= since + self.attach_timeout {
+            let max_timeout = self.config.attach_timeout * MAX_ATTACH_TIMEOUT_FACTOR;
+            self.attach_timeout = max_timeout.min(self.attach_timeout * 2);
             self.attaching_since = Some(now);
-            self.leave_for_better(now);
+            self.switch_unless_avoided(now);
         }
     }
 
-    fn failed_at(&mut self, give_up_at: Duration, now: Duration) {
+    fn on_poll_failed(&mut self, deadline: Duration, now: Duration) {
         self.counters.failures += 1;
-        self.failures += if now >= give_up_at { FAILURES_MOST } else { 1 };
-        let jitter = self.config.retry.mul_f64(self.chance.f64());
-        self.ask_at = now + self.config.retry + jitter;
-        if self.failures < FAILURES_MOST {
+        self.failures += if now >= deadline { MAX_FAILURES } else { 1 };
+        let jitter = self.config.retry.mul_f64(self.rng.f64());
+        self.next_poll_at = now + self.config.retry + jitter;
+        if self.failures < MAX_FAILURES {
             return;
         }
         self.failures = 0;
-        self.set_bad(now);
-        if let Some(other) = self.other() {
-            let ask_at = if self.is_bad(other, now) { self.ask_at } else { now };
-            self.choose(other, now);
-            self.ask_at = ask_at;
+        self.avoid_current(now);
+        if let Some(other_replica) = self.other_replica() {
+            let next_poll_at = if self.is_avoided(other_replica, now) { self.next_poll_at } else { now };
+            self.switch_to(other_replica, now);
+            self.next_poll_at = next_poll_at;
         }
     }
 
-    fn leave_for_better(&mut self, now: Duration) {
-        if let Some(other) = self.other()
-            && !self.is_bad(other, now)
+    fn switch_unless_avoided(&mut self, now: Duration) {
+        if let Some(other_replica) = self.other_replica()
+            && !self.is_avoided(other_replica, now)
         {
-            self.choose(other, now);
+            self.switch_to(other_replica, now);
         }
     }
 
-    fn other(&self) -> Option<Choice> {
-        let may = self.config.fallback.is_some() && self.config.defences.fallback;
-        may.then_some(match self.choice {
-            Choice::Primary => Choice::Fallback,
-            Choice::Fallback => Choice::Primary,
+    fn other_replica(&self) -> Option<ReplicaChoice> {
+        let can_switch = self.config.fallback.is_some() && self.config.defences.fallback;
+        can_switch.then_some(match self.choice {
+            ReplicaChoice::Primary => ReplicaChoice::Fallback,
+            ReplicaChoice::Fallback => ReplicaChoice::Primary,
         })
     }
 
-    fn set_bad(&mut self, now: Duration) {
+    fn avoid_current(&mut self, now: Duration) {
         match self.choice {
-            Choice::Primary => self.primary_bad_until = now + BAD_FOR,
-            Choice::Fallback => self.fallback_bad_until = now + BAD_FOR,
+            ReplicaChoice::Primary => self.primary_avoided_until = now + AVOID_DURATION,
+            ReplicaChoice::Fallback => self.fallback_avoided_until = now + AVOID_DURATION,
         }
     }
 
-    fn is_bad(&self, choice: Choice, now: Duration) -> bool {
+    fn is_avoided(&self, choice: ReplicaChoice, now: Duration) -> bool {
         now < match choice {
-            Choice::Primary => self.primary_bad_until,
-            Choice::Fallback => self.fallback_bad_until,
+            ReplicaChoice::Primary => self.primary_avoided_until,
+            ReplicaChoice::Fallback => self.fallback_avoided_until,
         }
     }
 
     /// A replica is followed from its start, under a new attachment. Until that is complete, what the last one assured
     /// holds for as long as it was to.
-    fn choose(&mut self, choice: Choice, now: Duration) {
+    fn switch_to(&mut self, choice: ReplicaChoice, now: Duration) {
         self.choice = choice;
-        self.attach_anew(now);
-        self.ask_at = now;
-        let jitter = self.config.return_jitter.mul_f64(self.chance.f64());
+        self.start_attachment(now);
+        self.next_poll_at = now;
+        let jitter = self.config.return_jitter.mul_f64(self.rng.f64());
         self.probe = Probe {
-            open: None,
-            ask_at: now + self.config.probe_interval,
-            good_since: None,
+            open_poll: None,
+            next_poll_at: now + self.config.probe_interval,
+            established_since: None,
             return_after: self.config.return_after + jitter,
         };
-        self.counters.fallbacks += u64::from(choice == Choice::Fallback);
+        self.counters.fallbacks += u64::from(choice == ReplicaChoice::Fallback);
     }
 
-    fn attach_anew(&mut self, now: Duration) {
+    fn start_attachment(&mut self, now: Duration) {
         self.attachment.0 += 1;
         self.counters.attachments += 1;
-        self.following = Following::default();
-        self.open = None;
+        self.position = LogPosition::default();
+        self.open_poll = None;
         self.attaching_since = Some(now);
     }
 }
 
 /// Records.
 impl Subscriber {
-    fn follow(&mut self, answer: &PollAnswer) {
-        if self.following.log.as_ref() != Some(&answer.log) {
-            self.counters.other_logs += u64::from(self.following.log.is_some());
-            self.following = Following { log: Some(answer.log.clone()), ..Following::default() };
+    fn advance_position(&mut self, answer: &PollAnswer) {
+        if self.position.log.as_ref() != Some(&answer.log) {
+            self.counters.other_logs += u64::from(self.position.log.is_some());
+            self.position = LogPosition { log: Some(answer.log.clone()), ..LogPosition::default() };
         }
-        self.following.since = answer.seq;
+        self.position.since = answer.seq;
         if !answer.more {
-            self.following.whole = answer.seq;
+            self.position.acknowledged = answer.seq;
         }
     }
 
-    fn take_records(&mut self, events: Vec<Event>, now: Duration) -> Taken {
+    fn accept_records(&mut self, events: Vec<Event>, now: Duration) -> AcceptedAnswer {
         let unix_ms = self.config.incarnation.0 + millis(now.saturating_sub(self.started_at));
-        let oldest = unix_ms.saturating_sub(millis(self.config.purge_span));
-        self.known.drop_purges_before(oldest);
-        let mut taken = Taken::default();
+        let oldest = unix_ms.saturating_sub(millis(self.config.purge_retention));
+        self.log.drop_purges_before(oldest);
+        let mut accepted = AcceptedAnswer::default();
         for Event { record, .. } in events {
             let too_old = matches!(&record, Record::Purge(purge) if purge.unix_ms < oldest);
             let is_member = matches!(record, Record::Member(_));
-            if too_old || is_member || matches!(self.known.join(record.clone(), now), Joined::Known(_)) {
-                taken.passed_over += 1;
+            if too_old || is_member || matches!(self.log.join(record.clone(), now), MergeResult::Known(_)) {
+                accepted.ignored += 1;
             } else {
-                taken.apply.push(record);
+                accepted.records.push(record);
             }
         }
-        self.counters.applied += taken.apply.len() as u64;
-        self.counters.passed_over += taken.passed_over as u64;
-        taken
+        self.counters.applied += accepted.records.len() as u64;
+        self.counters.passed_over += accepted.ignored as u64;
+        accepted
     }
 }
 
-fn check(config: &SubscriberConfig) -> Result<(), ConfigurationError> {
+fn check_config(config: &SubscriberConfig) -> Result<(), ConfigurationError> {
     check_name("dispatcher's name", &config.name.0)?;
     check_name("replica's name", &config.primary.0)?;
     if let Some(fallback) = &config.fallback {
@@ -527,6 +528,6 @@
     if config.fallback.as_ref() == Some(&config.primary) {
         return Err(ConfigurationError::FallbackIsPrimary(config.primary.clone()));
     }
-    let poll = ("a poll's timeout and patience", config.poll_timeout + config.poll_patience);
-    longer(("the doubt span", config.doubt_after), poll)
+    let poll = ("a poll's timeout and patience", config.poll_timeout + config.poll_timeout_margin);
+    check_longer(("the doubt span", config.doubt_after), poll)
 }
--- a/crates/replication/src/waiting.rs
+++ b/crates/replication/src/waiting.rs
@@ -7,7 +7,7 @@
 
 /// Whose poll waits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Whose {
+pub(crate) enum PollOwner {
     Reader(PollId),
     Probe(PollId),
     Member(MemberName),
@@ -19,19 +19,19 @@
 /// One poll that waits.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingPoll {
-    pub whose: Whose,
+    pub owner: PollOwner,
     pub since: Sequence,
     /// It is answered by then, with or without news.
-    pub until: Duration,
+    pub answer_at: Duration,
     /// An answer with news leaves at the earliest then.
-    pub not_before: Duration,
+    pub earliest_answer_at: Duration,
 }
 
 /// The polls that wait; each is moved once between its coming and its answer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingPolls {
     polls: BTreeMap<PollId, WaitingPoll>,
-    by_owner: BTreeMap<Whose, PollId>,
+    by_owner: BTreeMap<PollOwner, PollId>,
     schedule: BTreeSet<(Duration, PollId)>,
     /// Without news, to be answered at the next record that is not a member's.
     idle: BTreeSet<PollId>,
@@ -39,73 +39,73 @@
     idle_peers: BTreeSet<PollId>,
 }
 
-impl Waiting {
+impl WaitingPolls {
     /// A poll without news waits; an older one of the same poller is dropped.
-    pub fn wait(&mut self, id: PollId, poll: WaitingPoll) {
-        self.take(id);
-        if let Some(older) = self.by_owner.insert(poll.whose.clone(), id) {
-            self.drop_poll(older);
+    pub fn add(&mut self, id: PollId, poll: WaitingPoll) {
+        self.remove(id);
+        if let Some(previous) = self.by_owner.insert(poll.owner.clone(), id) {
+            self.drop_poll(previous);
         }
-        match poll.whose {
-            Whose::Peer(_) => self.idle_peers.insert(id),
-            Whose::Reader(_) | Whose::Probe(_) | Whose::Member(_) | Whose::Superseded(_) => {
+        match poll.owner {
+            PollOwner::Peer(_) => self.idle_peers.insert(id),
+            PollOwner::Reader(_) | PollOwner::Probe(_) | PollOwner::Member(_) | PollOwner::Superseded(_) => {
                 self.idle.insert(id)
             }
         };
-        self.schedule.insert((poll.until, id));
+        self.schedule.insert((poll.answer_at, id));
         self.polls.insert(id, poll);
     }
 
     /// There is news for a poll: it is answered when its batch interval is over.
-    pub fn wake(&mut self, id: PollId) {
-        let woken = self.idle.remove(&id) | self.idle_peers.remove(&id);
-        let Some(poll) = self.polls.get_mut(&id).filter(|_| woken) else {
+    pub fn schedule_answer(&mut self, id: PollId) {
+        let was_idle = self.idle.remove(&id) | self.idle_peers.remove(&id);
+        let Some(poll) = self.polls.get_mut(&id).filter(|_| was_idle) else {
             return;
         };
-        self.schedule.remove(&(poll.until, id));
-        poll.until = poll.until.min(poll.not_before);
-        self.schedule.insert((poll.until, id));
+        self.schedule.remove(&(poll.answer_at, id));
+        poll.answer_at = poll.answer_at.min(poll.earliest_answer_at);
+        self.schedule.insert((poll.answer_at, id));
     }
 
     /// There is news for the poll of this poller, if one waits.
-    pub fn wake_owner(&mut self, whose: &Whose) {
-        if let Some(&id) = self.by_owner.get(whose) {
-            self.wake(id);
+    pub fn schedule_answer_to(&mut self, owner: &PollOwner) {
+        if let Some(&id) = self.by_owner.get(owner) {
+            self.schedule_answer(id);
         }
     }
 
     /// A record was taken into the log.
-    pub fn wake_all(&mut self, of_a_member: bool) {
+    pub fn on_record_added(&mut self, is_member_record: bool) {
         let peers = std::mem::take(&mut self.idle_peers);
-        let others = if of_a_member { BTreeSet::new() } else { std::mem::take(&mut self.idle) };
+        let others = if is_member_record { BTreeSet::new() } else { std::mem::take(&mut self.idle) };
         for id in peers.into_iter().chain(others) {
             self.idle.insert(id);
-            self.wake(id);
+            self.schedule_answer(id);
         }
     }
 
     /// The next poll that is to be answered by now.
-    pub fn due(&mut self, now: Duration) -> Option<(PollId, WaitingPoll)> {
+    pub fn pop_due(&mut self, now: Duration) -> Option<(PollId, WaitingPoll)> {
         let (at, id) = *self.schedule.first()?;
-        let poll = (at <= now).then(|| self.take(id))??;
+        let poll = (at <= now).then(|| self.remove(id))??;
         Some((id, poll))
     }
 
     /// When the next answer is due.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub fn next_answer_at(&self) -> Option<Duration> {
         self.schedule.first().map(|(at, _)| *at)
     }
 
     /// Takes a poll out.
-    pub fn take(&mut self, id: PollId) -> Option<WaitingPoll> {
+    pub fn remove(&mut self, id: PollId) -> Option<WaitingPoll> {
         let poll = self.drop_poll(id)?;
-        self.by_owner.remove(&poll.whose);
+        self.by_owner.remove(&poll.owner);
         Some(poll)
     }
 
     fn drop_poll(&mut self, id: PollId) -> Option<WaitingPoll> {
         let poll = self.polls.remove(&id)?;
-        self.schedule.remove(&(poll.until, id));
+        self.schedule.remove(&(poll.answer_at, id));
         self.idle.remove(&id);
         self.idle_peers.remove(&id);
         Some(poll)
--- a/crates/replication/src/watermark.rs
+++ b/crates/replication/src/watermark.rs
@@ -44,73 +44,73 @@
     /// This replica itself has started lately, and doesn't know yet who is there.
     StartUp,
     /// No answer came within the quorum window, and fewer than a majority did answer.
-    NotHeard,
+    NoRecentAnswer,
     /// It answers, and hasn't read the record yet.
     NotRead,
     /// Dispatchers attached there have not all acknowledged it.
     NotApplied,
     /// A dispatcher is known to be attached there of which its last report doesn't speak yet.
-    AttachedSince,
+    AttachedSinceReport,
     /// Dispatchers are attached there, and it is no peer here.
-    NoPeer,
+    NotAPeer,
 }
 
 /// Marks that are kept of one peer's log; above it every second one is left out, which only makes a report later.
-const MARKS_MOST: usize = 256;
+const MAX_SEQ_PAIRS: usize = 256;
 /// Times that are kept of when the claimed watermark rose.
-const RISES_MOST: usize = 4096;
+const MAX_RAISE_TIMES: usize = 4096;
 
-/// The peer's log up to `theirs` was read when the last news of this log stood at `ours`.
+/// The peer's log up to `peer_seq` was read when the last news of this log stood at `own_seq`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Mark {
-    theirs: Sequence,
-    ours: Sequence,
+struct SeqPair {
+    peer_seq: Sequence,
+    own_seq: Sequence,
     at: Duration,
 }
 
 /// Translates what dispatchers acknowledge of this log into what is applied of a peer's.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Marks {
-    marks: VecDeque<Mark>,
+pub(crate) struct SeqTranslation {
+    pairs: VecDeque<SeqPair>,
 }
 
-impl Marks {
-    pub fn read(&mut self, theirs: Sequence, ours: Sequence, at: Duration) {
-        if let Some(last) = self.marks.back_mut()
-            && last.ours == ours
+impl SeqTranslation {
+    pub fn read(&mut self, peer_seq: Sequence, own_seq: Sequence, at: Duration) {
+        if let Some(last) = self.pairs.back_mut()
+            && last.own_seq == own_seq
         {
-            last.theirs = last.theirs.max(theirs);
+            last.peer_seq = last.peer_seq.max(peer_seq);
             return;
         }
-        self.marks.push_back(Mark { theirs, ours, at });
-        if self.marks.len() > MARKS_MOST {
-            self.thin();
+        self.pairs.push_back(SeqPair { peer_seq, own_seq, at });
+        if self.pairs.len() > MAX_SEQ_PAIRS {
+            self.drop_every_second_pair();
         }
     }
 
     /// What of the peer's log is applied where this log is, up to `acknowledged`.
     pub fn applied(&mut self, acknowledged: Sequence) -> Sequence {
-        while self.marks.get(1).is_some_and(|second| second.ours <= acknowledged) {
-            self.marks.pop_front();
+        while self.pairs.get(1).is_some_and(|second| second.own_seq <= acknowledged) {
+            self.pairs.pop_front();
         }
-        let passed = self.marks.front().filter(|mark| mark.ours <= acknowledged);
-        passed.map_or(Sequence(0), |mark| mark.theirs)
+        let passed = self.pairs.front().filter(|mark| mark.own_seq <= acknowledged);
+        passed.map_or(Sequence(0), |mark| mark.peer_seq)
     }
 
     /// The place in this log that some have not acknowledged though it was read before a time.
     pub fn overdue(&self, acknowledged: Sequence, before: Duration) -> Option<Sequence> {
-        let pending = self.marks.iter().find(|mark| mark.ours > acknowledged)?;
-        (pending.at <= before).then_some(pending.ours)
+        let pending = self.pairs.iter().find(|mark| mark.own_seq > acknowledged)?;
+        (pending.at <= before).then_some(pending.own_seq)
     }
 
     pub fn clear(&mut self) {
-        self.marks.clear();
+        self.pairs.clear();
     }
 
-    fn thin(&mut self) {
-        let newest = self.marks.len() - 1;
+    fn drop_every_second_pair(&mut self) {
+        let newest = self.pairs.len() - 1;
         let mut index = 0;
-        self.marks.retain(|_| {
+        self.pairs.retain(|_| {
             index += 1;
             index % 2 == 1 || index > newest
         });
@@ -119,31 +119,31 @@
 
 /// The claimed watermark: it never falls in one life, and remembers when it rose.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Claimed {
+pub(crate) struct ClaimedWatermark {
     seq: Sequence,
-    rises: BTreeMap<Sequence, Duration>,
+    raise_times: BTreeMap<Sequence, Duration>,
 }
 
-impl Claimed {
+impl ClaimedWatermark {
     pub fn seq(&self) -> Sequence {
         self.seq
     }
 
-    pub fn rise(&mut self, seq: Sequence, now: Duration) {
+    pub fn raise(&mut self, seq: Sequence, now: Duration) {
         if seq <= self.seq {
             return;
         }
         self.seq = seq;
-        self.rises.insert(seq, now);
-        if self.rises.len() > RISES_MOST {
-            self.rises.pop_first();
+        self.raise_times.insert(seq, now);
+        if self.raise_times.len() > MAX_RAISE_TIMES {
+            self.raise_times.pop_first();
         }
     }
 
     /// When a place was claimed, at the latest.
     pub fn at(&self, seq: Sequence) -> Option<Duration> {
         let claimed = seq <= self.seq;
-        let rise = self.rises.range(seq..).next().filter(|_| claimed);
-        rise.map(|(_, at)| *at).or(claimed.then_some(Duration::ZERO))
+        let raise = self.raise_times.range(seq..).next().filter(|_| claimed);
+        raise.map(|(_, at)| *at).or(claimed.then_some(Duration::ZERO))
     }
 }
--- a/crates/replication/tests/replication/defences.rs
+++ b/crates/replication/tests/replication/defences.rs
@@ -85,7 +85,7 @@
     run_for(&mut simulation, 1000);
     simulation.start(Node::Dispatcher(1));
     run_for(&mut simulation, 1000);
-    assert!(!simulation.in_doubt(1), "a majority is there");
+    assert!(!simulation.in_doubt_since(1), "a majority is there");
     let purge = purge(&simulation, 1);
     assert!(simulation.publish_at(0, purge));
     run_for(&mut simulation, 1000);
@@ -100,9 +100,9 @@
 
 /// A dispatcher attaches by a long backlog, one record an answer; meanwhile a record of it moves behind what the attach
 /// takes, and the replica that claims the older one is cut off.
-fn a_record_that_moves_while_it_is_told(whole_answers: bool, moved_after_ms: u64) -> Simulation {
-    let replica_defences = ReplicaDefences { whole_answers, ..Default::default() };
-    let mut simulation = Simulation::new(Setting { replica_defences, batch_most: 1, ..calm(3, 1) });
+fn a_record_that_moves_while_it_is_told(complete_answers: bool, moved_after_ms: u64) -> Simulation {
+    let replica_defences = ReplicaDefences { complete_answers, ..Default::default() };
+    let mut simulation = Simulation::new(Setting { replica_defences, max_batch_records: 1, ..calm(3, 1) });
     run_for(&mut simulation, 4000);
     simulation.kill(Node::Dispatcher(0));
     for group in 1..=100 {
@@ -152,12 +152,12 @@
 fn without_a_fallback_a_purge_stays_outstanding_and_a_dispatcher_in_doubt() {
     let (mut simulation, purge) = a_replica_that_stays_away(true);
     assert!(matches!(simulation.verdict(0, &purge.name()), Verdict::InForce { .. }));
-    assert!(simulation.applied(1, &purge) && !simulation.in_doubt(1));
+    assert!(simulation.applied(1, &purge) && !simulation.in_doubt_since(1));
     let (mut simulation, purge) = a_replica_that_stays_away(false);
     let Verdict::Outstanding(outstanding) = simulation.verdict(0, &purge.name()) else {
         panic!("nobody can know what its dispatcher does");
     };
     assert_eq!(outstanding.dispatchers, ["d1".into()]);
-    assert!(!simulation.applied(1, &purge) && simulation.in_doubt(1));
+    assert!(!simulation.applied(1, &purge) && simulation.in_doubt_since(1));
     assert_eq!(simulation.replica(0).standing(), ReplicaStanding::Established);
 }
--- a/crates/replication/tests/replication/oracle.rs
+++ b/crates/replication/tests/replication/oracle.rs
@@ -55,11 +55,11 @@
         seed in any::<u64>(),
         replicas in 3_usize..=9,
         dispatchers in 5_usize..=40,
-        batch_most in 1_usize..=8,
+        max_batch_records in 1_usize..=8,
         fault_every in 120_u64..=1500,
     ) {
         let setting = Setting {
-            batch_most,
+            max_batch_records,
             fault_every: Some(ms(fault_every)),
             ..Setting::new(seed, replicas, dispatchers)
         };
--- a/crates/replication/tests/replication/rules.rs
+++ b/crates/replication/tests/replication/rules.rs
@@ -1,7 +1,7 @@
 //! Each rule and each bad input by itself.
 
 use crate::simulation::{Node, Setting, Simulation, ms, replica_name};
-use myrtlegauge_replication::compacted_log::{Audience, CompactedLog, Joined};
+use myrtlegauge_replication::compacted_log::{Audience, CompactedLog, MergeResult};
 use myrtlegauge_replication::*;
 use serde_json::json;
 use std::time::Duration;
@@ -51,8 +51,8 @@
 }
 
 fn poll(poller: Poller, log: Option<&LogId>, seq: u64) -> PollRequest {
-    let (since, whole) = (Sequence(seq), Sequence(seq));
-    PollRequest { log: log.cloned(), since, whole, timeout: ms(1000), poller }
+    let (since, acknowledged) = (Sequence(seq), Sequence(seq));
+    PollRequest { log: log.cloned(), since, acknowledged, timeout: ms(1000), poller }
 }
 
 /// The answer to a poll, now or by its timeout.
@@ -164,9 +164,9 @@
 #[test]
 fn a_record_that_changes_nothing_takes_no_place() {
     let mut log = CompactedLog::default();
-    assert_eq!(log.join(purge(1, 5), Duration::ZERO), Joined::Changed(Sequence(1)));
-    assert_eq!(log.join(purge(1, 5), Duration::ZERO), Joined::Known(Sequence(1)));
-    assert_eq!(log.join(purge(1, 4), Duration::ZERO), Joined::Known(Sequence(1)));
+    assert_eq!(log.join(purge(1, 5), Duration::ZERO), MergeResult::Changed(Sequence(1)));
+    assert_eq!(log.join(purge(1, 5), Duration::ZERO), MergeResult::Known(Sequence(1)));
+    assert_eq!(log.join(purge(1, 4), Duration::ZERO), MergeResult::Known(Sequence(1)));
     assert_eq!(log.last(), Sequence(1));
 }
 
@@ -191,13 +191,13 @@
     let dispatchers = log.since(Sequence(0), 9, Audience::Dispatchers);
     assert_eq!((dispatchers.events.len(), dispatchers.seq), (1, Sequence(2)));
     assert_eq!(log.since(Sequence(0), 9, Audience::Replicas).events.len(), 2);
-    assert_eq!(log.last_news(), Sequence(1));
+    assert_eq!(log.last_data_seq(), Sequence(1));
 }
 
 #[test]
 fn purges_older_than_any_copy_are_dropped() {
     let mut config = replica_config(&[]);
-    config.purge_span = ms(10_000);
+    config.purge_retention = ms(10_000);
     let mut replica = Replica::new(config, Duration::ZERO).expect("a good configuration");
     replica.tick(ms(6000));
     replica.publish(purge(1, START_MS), ms(6000)).expect("it is taken");
@@ -211,7 +211,7 @@
 #[test]
 fn members_that_left_are_forgotten_after_a_span() {
     let mut config = replica_config(&[]);
-    config.forget_left = ms(20_000);
+    config.left_member_retention = ms(20_000);
     let mut replica = Replica::new(config, Duration::ZERO).expect("a good configuration");
     answer(&mut replica, poll(dispatcher(1), None, 0), ms(6000));
     replica.tick(ms(16_000));
@@ -229,17 +229,17 @@
     replica.publish(host(5, "up"), now).expect("it is taken");
     let last = replica.log().last();
     let here = START_MS + 6000;
-    let what = "configuration";
+    let kind = "configuration";
     let name = "limits".to_owned();
     let refused = [
         (
             configuration(4, 1),
-            PublishError::Older { what, name: name.clone(), version: Version(4), known: Version(5) },
+            PublishError::Older { kind, name: name.clone(), version: Version(4), known: Version(5) },
         ),
-        (configuration(5, 2), RecordError::Conflict { what, name, version: Version(5) }.into()),
+        (configuration(5, 2), RecordError::Conflict { kind, name, version: Version(5) }.into()),
         (
             host(5, "down"),
-            RecordError::Conflict { what: "host", name: "c1".into(), version: Version(5) }.into(),
+            RecordError::Conflict { kind: "host", name: "c1".into(), version: Version(5) }.into(),
         ),
         (
             purge(1, here - 86_400_001),
@@ -249,11 +249,11 @@
         (member(1, attached_at("north")), PublishError::Member("d1".into())),
         (
             Record::Purge(Purge { target: PurgeTarget::Object(String::new()), unix_ms: here }),
-            PublishError::Name { length: 0, most: 255 },
+            PublishError::Name { length: 0, max: 255 },
         ),
         (
             Record::Purge(Purge { target: PurgeTarget::Object("a".repeat(256)), unix_ms: here }),
-            PublishError::Name { length: 256, most: 255 },
+            PublishError::Name { length: 256, max: 255 },
         ),
     ];
     for (record, error) in refused {
@@ -275,11 +275,11 @@
 #[test]
 fn records_are_bounded() {
     let mut config = replica_config(&[]);
-    config.records_most = 1;
+    config.max_records = 1;
     let mut replica = Replica::new(config, Duration::ZERO).expect("a good configuration");
     replica.publish(purge(1, START_MS), Duration::ZERO).expect("it is taken");
     replica.publish(purge(1, START_MS + 1), Duration::ZERO).expect("a known name takes no more room");
-    assert_eq!(replica.publish(purge(2, START_MS), Duration::ZERO), Err(PublishError::Full { most: 1 }));
+    assert_eq!(replica.publish(purge(2, START_MS), Duration::ZERO), Err(PublishError::Full { max: 1 }));
 }
 
 #[test]
@@ -303,7 +303,7 @@
     ];
     for (query, field) in refused {
         match PollRequest::from_query(query) {
-            Err(PollError::Unreadable { field: told, .. }) => assert_eq!(told, field),
+            Err(PollError::InvalidField { field: reported, .. }) => assert_eq!(reported, field),
             other => panic!("{query}: {other:?}"),
         }
     }
@@ -315,10 +315,10 @@
         ("role=replica&name=r", "own_log"),
     ];
     for (query, field) in missing {
-        assert_eq!(PollRequest::from_query(query), Err(PollError::Missing(field)));
+        assert_eq!(PollRequest::from_query(query), Err(PollError::MissingField(field)));
     }
     let long = format!("role=replica&own_log=a&name={}", "a".repeat(256));
-    assert!(matches!(PollRequest::from_query(&long), Err(PollError::Unreadable { field: "name", .. })));
+    assert!(matches!(PollRequest::from_query(&long), Err(PollError::InvalidField { field: "name", .. })));
 }
 
 #[test]
@@ -347,7 +347,7 @@
     let log = answer(&mut replica, poll(dispatcher(1), None, 0), now).log;
     let (since, last) = (Sequence(9), Sequence(2));
     let ahead = replica.poll(PollId(2), poll(dispatcher(1), Some(&log), 9), now + ms(1000));
-    assert_eq!(ahead, Err(PollError::Ahead { log, since, last }));
+    assert_eq!(ahead, Err(PollError::AheadOfLog { log, since, last }));
     let (_, answer) = replica.next_answer(now + ms(1100)).expect("it is answered");
     assert_eq!(answer.results.len(), 1);
     assert_eq!(replica.members()[0].acknowledged, Some(Sequence(0)));
@@ -367,13 +367,13 @@
 #[test]
 fn members_are_bounded_and_unknown_replicas_refused() {
     let mut config = replica_config(&["south"]);
-    config.members_most = 1;
+    config.max_members = 1;
     let mut replica = Replica::new(config, Duration::ZERO).expect("a good configuration");
     replica.poll(PollId(1), poll(dispatcher(1), None, 0), ms(1)).expect("the first is taken");
     let (name, incarnation, attachment) = ("d2".into(), Incarnation(1), Attachment(1));
     let second = Poller::Dispatcher { name, incarnation, attachment, leaving: false };
     let refused = replica.poll(PollId(2), poll(second, None, 0), ms(1));
-    assert_eq!(refused, Err(PollError::TooManyMembers { name: "d2".into(), most: 1 }));
+    assert_eq!(refused, Err(PollError::TooManyMembers { name: "d2".into(), max: 1 }));
     let stranger = Poller::Replica { name: "west".into(), own_log: "west-1".into() };
     let refused = replica.poll(PollId(3), poll(stranger, None, 0), ms(1));
     assert_eq!(refused, Err(PollError::UnknownReplica("west".into())));
@@ -453,9 +453,9 @@
     assert_eq!(error(twice), Some(ConfigurationError::PeerTwice("south".into())));
     assert!(matches!(error(replica_config(&[""])), Some(ConfigurationError::Name { .. })));
     let changes: [fn(&mut ReplicaConfig); 6] = [
-        |config| config.batch_most = 0,
-        |config| config.members_most = 0,
-        |config| config.records_most = 0,
+        |config| config.max_batch_records = 0,
+        |config| config.max_members = 0,
+        |config| config.max_records = 0,
         |config| config.member_lease = config.doubt_after,
         |config| config.start_up_hold = config.quorum_window,
         |config| config.quorum_window = config.peer_timeout,
@@ -485,21 +485,21 @@
 fn answers_of_peers_that_were_not_asked_or_go_back_are_refused() {
     let mut replica = Replica::new(replica_config(&["south"]), Duration::ZERO).expect("a good configuration");
     let south = ReplicaName::from("south");
-    let refused = replica.peer_answered(&south, told("south", 1), ms(1));
-    assert_eq!(refused, Err(AnswerError::NotAsked(south.clone())));
+    let refused = replica.on_peer_answer(&south, told("south", 1), ms(1));
+    assert_eq!(refused, Err(AnswerError::Unsolicited(south.clone())));
     let west = ReplicaName::from("west");
-    let refused = replica.peer_answered(&west, told("west", 1), ms(1));
+    let refused = replica.on_peer_answer(&west, told("west", 1), ms(1));
     assert_eq!(refused, Err(AnswerError::UnknownReplica(west)));
-    replica.next_ask(ms(1)).expect("it asks at once");
+    replica.next_poll(ms(1)).expect("it asks at once");
     let mut backwards = told("south", 2);
     backwards.results = [2, 1].map(|seq| Event { seq: Sequence(seq), record: purge(seq, START_MS) }).to_vec();
-    let refused = replica.peer_answered(&south, backwards, ms(2));
+    let refused = replica.on_peer_answer(&south, backwards, ms(2));
     assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: south.clone(), event: Sequence(1) }));
     assert_eq!(replica.log().last(), Sequence(0), "nothing of it was applied");
     let mut beyond = told("south", 1);
     beyond.results = vec![Event { seq: Sequence(2), record: purge(1, START_MS) }];
-    replica.next_ask(ms(50)).expect("it asks again");
-    let refused = replica.peer_answered(&south, beyond, ms(51));
+    replica.next_poll(ms(50)).expect("it asks again");
+    let refused = replica.on_peer_answer(&south, beyond, ms(51));
     assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: south, event: Sequence(2) }));
 }
 
@@ -549,9 +549,9 @@
         assert_eq!(outstanding(verdict).dispatchers, ["d4".into()], "at r{replica}");
     }
     simulation.thaw(Node::Dispatcher(4));
-    assert!(simulation.in_doubt(4));
+    assert!(simulation.in_doubt_since(4));
     run_for(&mut simulation, 1000);
-    assert!(!simulation.in_doubt(4));
+    assert!(!simulation.in_doubt_since(4));
     assert!(in_force(&mut simulation, 0, &name));
 }
 
@@ -578,7 +578,7 @@
     simulation.start(Node::Dispatcher(4));
     run_for(&mut simulation, 500);
     assert!(in_force(&mut simulation, 1, &name));
-    assert!(!simulation.in_doubt(4));
+    assert!(!simulation.in_doubt_since(4));
     assert_eq!(simulation.replica(1).counters().expired, 0);
 }
 
@@ -599,7 +599,7 @@
     let waited = outstanding(simulation.verdict(3, &majority));
     let not_heard: Vec<ReplicaName> = waited.replicas.iter().map(|lagging| lagging.name.clone()).collect();
     assert_eq!(not_heard, [replica_name(0), replica_name(1)]);
-    assert!(waited.replicas.iter().all(|lagging| lagging.reason == Reason::NotHeard));
+    assert!(waited.replicas.iter().all(|lagging| lagging.reason == Reason::NoRecentAnswer));
     let waited = outstanding(simulation.verdict(0, &minority));
     assert_eq!(waited.replicas.len(), 3);
     simulation.join(&ways);
@@ -626,7 +626,7 @@
     run_for(&mut simulation, 1500);
     assert_eq!(simulation.replica(2).standing(), ReplicaStanding::Established);
     assert!(in_force(&mut simulation, 2, &name));
-    assert!((0..10).all(|dispatcher| !simulation.in_doubt(dispatcher)));
+    assert!((0..10).all(|dispatcher| !simulation.in_doubt_since(dispatcher)));
 }
 
 #[test]
@@ -653,9 +653,9 @@
     (0..5).for_each(|index| simulation.kill(Node::Replica(index)));
     (0..5).for_each(|index| simulation.start(Node::Replica(index)));
     run_for(&mut simulation, 800);
-    assert!((0..10).all(|dispatcher| simulation.in_doubt(dispatcher)), "nobody can assure them");
+    assert!((0..10).all(|dispatcher| simulation.in_doubt_since(dispatcher)), "nobody can assure them");
     run_for(&mut simulation, 3000);
-    assert!((0..10).all(|dispatcher| !simulation.in_doubt(dispatcher)));
+    assert!((0..10).all(|dispatcher| !simulation.in_doubt_since(dispatcher)));
     let name = publish(&mut simulation, 3, 2);
     run_for(&mut simulation, 500);
     assert!((0..5).all(|replica| in_force(&mut simulation, replica, &name)));
@@ -666,65 +666,68 @@
 #[test]
 fn a_dispatcher_without_answers_is_in_doubt_since_the_last() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(100)).expect("a good configuration");
-    assert_eq!(subscriber.in_doubt(ms(100)), Some(ms(100)));
-    let ask = subscriber.next_ask(ms(200)).expect("it asks");
-    subscriber.answered(&ask.to, told("north", 0), ms(300)).expect("it is taken");
-    assert_eq!(subscriber.in_doubt(ms(300)), None);
+    assert_eq!(subscriber.in_doubt_since(ms(100)), Some(ms(100)));
+    let ask = subscriber.next_poll(ms(200)).expect("it asks");
+    subscriber.on_answer(&ask.to, told("north", 0), ms(300)).expect("it is taken");
+    assert_eq!(subscriber.in_doubt_since(ms(300)), None);
     // The span counts from when the poll was sent.
-    assert_eq!(subscriber.in_doubt(ms(3199)), None);
-    assert_eq!(subscriber.in_doubt(ms(3200)), Some(ms(200)));
+    assert_eq!(subscriber.in_doubt_since(ms(3199)), None);
+    assert_eq!(subscriber.in_doubt_since(ms(3200)), Some(ms(200)));
 }
 
 #[test]
 fn a_dispatcher_falls_back_under_a_new_attachment_and_keeps_what_was_assured() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_ask(ms(0)).expect("it asks");
-    subscriber.answered(&ask.to, told("north", 7), ms(10)).expect("it is taken");
-    let second = subscriber.next_ask(ms(10)).expect("it asks");
-    assert_eq!((second.request.log.clone(), second.request.whole), (Some("north-1".into()), Sequence(7)));
-    subscriber.failed(&second.to, second.give_up_at);
-    let third = subscriber.next_ask(second.give_up_at).expect("it asks the other one at once");
+    let ask = subscriber.next_poll(ms(0)).expect("it asks");
+    subscriber.on_answer(&ask.to, told("north", 7), ms(10)).expect("it is taken");
+    let second = subscriber.next_poll(ms(10)).expect("it asks");
+    assert_eq!(
+        (second.request.log.clone(), second.request.acknowledged),
+        (Some("north-1".into()), Sequence(7))
+    );
+    subscriber.on_failure(&second.to, second.deadline);
+    let third = subscriber.next_poll(second.deadline).expect("it asks the other one at once");
     assert_eq!(third.to, "south".into());
     assert_eq!((third.request.log.clone(), third.request.since), (None, Sequence(0)));
     let Poller::Dispatcher { attachment, .. } = third.request.poller else { panic!("a dispatcher polls") };
     assert_eq!(attachment, Attachment(2));
-    assert_eq!(subscriber.in_doubt(second.give_up_at), None);
+    assert_eq!(subscriber.in_doubt_since(second.deadline), None);
     assert_eq!(subscriber.counters().fallbacks, 1);
 }
 
 #[test]
 fn one_connection_that_breaks_is_tried_again_before_falling_back() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_ask(ms(0)).expect("it asks");
-    subscriber.failed(&ask.to, ms(1));
-    assert!(subscriber.next_ask(ms(2)).is_none(), "not at once");
-    assert_eq!(subscriber.next_ask(ms(500)).expect("it asks again").to, "north".into());
-    subscriber.failed(&ask.to, ms(501));
-    assert_eq!(subscriber.next_ask(ms(501)).expect("it falls back").to, "south".into());
+    let ask = subscriber.next_poll(ms(0)).expect("it asks");
+    subscriber.on_failure(&ask.to, ms(1));
+    assert!(subscriber.next_poll(ms(2)).is_none(), "not at once");
+    assert_eq!(subscriber.next_poll(ms(500)).expect("it asks again").to, "north".into());
+    subscriber.on_failure(&ask.to, ms(501));
+    assert_eq!(subscriber.next_poll(ms(501)).expect("it falls back").to, "south".into());
 }
 
 #[test]
 fn a_dispatcher_falls_back_from_a_replica_in_its_start_up_hold() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_ask(ms(0)).expect("it asks");
+    let ask = subscriber.next_poll(ms(0)).expect("it asks");
     let held = r#"{"log":"north-2","seq":0,"standing":"starting","results":[]}"#;
     subscriber
-        .answered(&ask.to, PollAnswer::from_json(held).expect("an answer"), ms(1))
+        .on_answer(&ask.to, PollAnswer::from_json(held).expect("an answer"), ms(1))
         .expect("it is taken");
-    assert_eq!(subscriber.next_ask(ms(1)).expect("it asks").to, "south".into());
+    assert_eq!(subscriber.next_poll(ms(1)).expect("it asks").to, "south".into());
 }
 
 /// When a dispatcher with this seed goes back to its primary, which answers all the time.
 fn returned_at(seed: u64) -> Duration {
     let config = SubscriberConfig { seed, ..subscriber_config() };
     let mut subscriber = Subscriber::new(config, ms(0)).expect("a good configuration");
-    let ask = subscriber.next_ask(ms(0)).expect("it asks");
-    subscriber.failed(&ask.to, ask.give_up_at);
-    let mut now = ask.give_up_at;
+    let ask = subscriber.next_poll(ms(0)).expect("it asks");
+    subscriber.on_failure(&ask.to, ask.deadline);
+    let mut now = ask.deadline;
     while subscriber.counters().returns == 0 {
-        let asks: Vec<Ask> = std::iter::from_fn(|| subscriber.next_ask(now)).collect();
-        for Ask { to, .. } in asks {
-            subscriber.answered(&to, told(&to.0, 0), now).expect("it is taken");
+        let asks: Vec<SubscriberPoll> = std::iter::from_fn(|| subscriber.next_poll(now)).collect();
+        for SubscriberPoll { to, .. } in asks {
+            subscriber.on_answer(&to, told(&to.0, 0), now).expect("it is taken");
         }
         now += ms(50);
     }
@@ -744,13 +747,14 @@
 #[test]
 fn a_dispatcher_that_was_superseded_attaches_anew() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_ask(ms(0)).expect("it asks");
+    let ask = subscriber.next_poll(ms(0)).expect("it asks");
     let over = r#"{"log":"north-1","seq":0,"superseded":true,"results":[]}"#;
     subscriber
-        .answered(&ask.to, PollAnswer::from_json(over).expect("an answer"), ms(1))
+        .on_answer(&ask.to, PollAnswer::from_json(over).expect("an answer"), ms(1))
         .expect("it is taken");
-    assert!(subscriber.next_ask(ms(1)).is_none(), "not at once: two of one name would go round");
-    let Poller::Dispatcher { attachment, .. } = subscriber.next_ask(ms(300)).expect("it asks").request.poller
+    assert!(subscriber.next_poll(ms(1)).is_none(), "not at once: two of one name would go round");
+    let Poller::Dispatcher { attachment, .. } =
+        subscriber.next_poll(ms(300)).expect("it asks").request.poller
     else {
         panic!("a dispatcher polls");
     };
@@ -761,40 +765,40 @@
 fn an_event_that_is_older_than_what_is_known_changes_nothing() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
     let bring = |subscriber: &mut Subscriber, seq: u64, unix_ms: u64, now: u64| {
-        let ask = subscriber.next_ask(ms(now)).expect("it asks");
+        let ask = subscriber.next_poll(ms(now)).expect("it asks");
         let mut answer = told("north", seq);
         answer.results = vec![Event { seq: Sequence(seq), record: purge(1, unix_ms) }];
-        subscriber.answered(&ask.to, answer, ms(now)).expect("it is taken")
+        subscriber.on_answer(&ask.to, answer, ms(now)).expect("it is taken")
     };
-    assert_eq!(bring(&mut subscriber, 1, START_MS + 5, 1).apply.len(), 1);
-    assert_eq!(bring(&mut subscriber, 2, START_MS + 4, 2).apply, []);
-    assert_eq!(bring(&mut subscriber, 3, START_MS + 5, 3).passed_over, 1);
-    assert_eq!(bring(&mut subscriber, 4, START_MS + 6, 4).apply.len(), 1);
+    assert_eq!(bring(&mut subscriber, 1, START_MS + 5, 1).records.len(), 1);
+    assert_eq!(bring(&mut subscriber, 2, START_MS + 4, 2).records, []);
+    assert_eq!(bring(&mut subscriber, 3, START_MS + 5, 3).ignored, 1);
+    assert_eq!(bring(&mut subscriber, 4, START_MS + 6, 4).records.len(), 1);
 }
 
 #[test]
 fn a_part_of_an_answer_is_not_acknowledged_as_whole() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_ask(ms(0)).expect("it asks");
-    subscriber.answered(&ask.to, PollAnswer { more: true, ..told("north", 5) }, ms(1)).expect("it is taken");
-    let request = subscriber.next_ask(ms(1)).expect("it asks").request;
-    assert_eq!((request.since, request.whole), (Sequence(5), Sequence(0)));
+    let ask = subscriber.next_poll(ms(0)).expect("it asks");
+    subscriber.on_answer(&ask.to, PollAnswer { more: true, ..told("north", 5) }, ms(1)).expect("it is taken");
+    let request = subscriber.next_poll(ms(1)).expect("it asks").request;
+    assert_eq!((request.since, request.acknowledged), (Sequence(5), Sequence(0)));
 }
 
 #[test]
 fn bad_answers_to_a_dispatcher_change_nothing() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
     let north = ReplicaName::from("north");
-    let refused = subscriber.answered(&north, told("north", 1), ms(0));
-    assert_eq!(refused, Err(AnswerError::NotAsked(north.clone())));
-    subscriber.next_ask(ms(0)).expect("it asks");
-    let refused = subscriber.answered(&"west".into(), told("west", 1), ms(0));
-    assert_eq!(refused, Err(AnswerError::NotAsked("west".into())));
+    let refused = subscriber.on_answer(&north, told("north", 1), ms(0));
+    assert_eq!(refused, Err(AnswerError::Unsolicited(north.clone())));
+    subscriber.next_poll(ms(0)).expect("it asks");
+    let refused = subscriber.on_answer(&"west".into(), told("west", 1), ms(0));
+    assert_eq!(refused, Err(AnswerError::Unsolicited("west".into())));
     let mut beyond = told("north", 1);
     beyond.results = vec![Event { seq: Sequence(2), record: purge(1, START_MS) }];
-    let refused = subscriber.answered(&north, beyond, ms(1));
+    let refused = subscriber.on_answer(&north, beyond, ms(1));
     assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: north, event: Sequence(2) }));
-    assert!(subscriber.in_doubt(ms(1)).is_some(), "it said attached, and can't be trusted");
+    assert!(subscriber.in_doubt_since(ms(1)).is_some(), "it said attached, and can't be trusted");
 }
 
 #[test]
--- a/crates/replication/tests/replication/simulation.rs
+++ b/crates/replication/tests/replication/simulation.rs
@@ -47,7 +47,7 @@
     /// Mean span between two faults; none: no faults.
     pub fault_every: Option<Duration>,
     pub publish_every: Duration,
-    pub batch_most: usize,
+    pub max_batch_records: usize,
     pub replica_defences: ReplicaDefences,
     pub subscriber_defences: SubscriberDefences,
     /// Polls and answers travel as text.
@@ -69,7 +69,7 @@
             faults_until: ms(20_000),
             fault_every: Some(ms(400)),
             publish_every: ms(150),
-            batch_most: 3,
+            max_batch_records: 3,
             replica_defences: ReplicaDefences::default(),
             subscriber_defences: SubscriberDefences::default(),
             through_text: seed.is_multiple_of(4),
@@ -285,11 +285,11 @@
             let Some(state) = &machine.core else {
                 continue;
             };
-            if let Some(since) = state.subscriber.in_doubt(machine.clock.local(self.now)) {
+            if let Some(since) = state.subscriber.in_doubt_since(machine.clock.local(self.now)) {
                 lacking.push(format!("d{index} in doubt since {since:?}"));
             }
             for (name, record) in &self.published {
-                if state.applied.get(name).is_none_or(|applied| applied.stamp_cmp(record).is_lt()) {
+                if state.applied.get(name).is_none_or(|applied| applied.cmp_precedence(record).is_lt()) {
                     lacking.push(format!("d{index} lacks {name:?}"));
                 }
             }
@@ -311,14 +311,14 @@
         &self.dispatchers[index].core.as_ref().expect("the dispatcher runs").subscriber
     }
 
-    pub fn in_doubt(&self, index: usize) -> bool {
+    pub fn in_doubt_since(&self, index: usize) -> bool {
         let now = self.dispatchers[index].clock.local(self.now);
-        self.subscriber(index).in_doubt(now).is_some()
+        self.subscriber(index).in_doubt_since(now).is_some()
     }
 
     pub fn applied(&self, index: usize, record: &Record) -> bool {
         let state = self.dispatchers[index].core.as_ref().expect("the dispatcher runs");
-        state.applied.get(&record.name()).is_some_and(|applied| applied.stamp_cmp(record).is_ge())
+        state.applied.get(&record.name()).is_some_and(|applied| applied.cmp_precedence(record).is_ge())
     }
 
     pub fn unix_ms(&self) -> u64 {
@@ -384,7 +384,7 @@
             return false;
         }
         let known = self.published.get(&record.name());
-        if known.is_none_or(|known| record.stamp_cmp(known).is_gt()) {
+        if known.is_none_or(|known| record.cmp_precedence(known).is_gt()) {
             self.published.insert(record.name(), record);
         }
         self.drive(Node::Replica(replica));
@@ -409,12 +409,12 @@
     fn new_replica(&self, index: usize) -> ReplicaState {
         let peers = (0..self.setting.replicas).filter(|peer| *peer != index).map(replica_name).collect();
         let mut config = ReplicaConfig::new(replica_name(index), peers, Incarnation(self.unix_ms()));
-        config.batch_most = self.setting.batch_most;
+        config.max_batch_records = self.setting.max_batch_records;
         if !self.setting.full_spans {
             config.batch_interval = ms(20);
             config.peer_timeout = ms(200);
-            config.peer_patience = ms(150);
-            config.peer_retry = ms(40);
+            config.peer_timeout_margin = ms(150);
+            config.peer_retry_delay = ms(40);
             config.doubt_after = ms(600);
             config.member_lease = ms(2000);
             config.quorum_window = ms(600);
@@ -434,10 +434,10 @@
         let mut config = SubscriberConfig::new(name, Incarnation(self.unix_ms()), primary, fallback);
         if !self.setting.full_spans {
             config.poll_timeout = ms(200);
-            config.poll_patience = ms(100);
+            config.poll_timeout_margin = ms(100);
             config.retry = ms(40);
             config.doubt_after = ms(600);
-            config.attach_patience = ms(1200);
+            config.attach_timeout = ms(1200);
             config.probe_interval = ms(200);
             config.return_after = ms(1000);
             config.return_jitter = ms(2000);
@@ -570,9 +570,9 @@
                 }
                 let now = machine.clock.local(self.now);
                 let state = machine.core.as_mut().expect("a life that runs");
-                match state.replica.peer_answered(&name, answer, now) {
+                match state.replica.on_peer_answer(&name, answer, now) {
                     // It was given up at once after a freeze.
-                    Ok(()) | Err(AnswerError::NotAsked(_)) => {}
+                    Ok(()) | Err(AnswerError::Unsolicited(_)) => {}
                     Err(error) => panic!("an answer was refused: {error}"),
                 }
             }
@@ -583,12 +583,12 @@
                 }
                 let now = machine.clock.local(self.now);
                 let state = machine.core.as_mut().expect("a life that runs");
-                match state.subscriber.answered(&name, answer, now) {
+                match state.subscriber.on_answer(&name, answer, now) {
                     Ok(taken) => {
-                        state.applied.extend(taken.apply.into_iter().map(|record| (record.name(), record)));
+                        state.applied.extend(taken.records.into_iter().map(|record| (record.name(), record)));
                     }
                     // The choice has changed since.
-                    Err(AnswerError::NotAsked(_)) => {}
+                    Err(AnswerError::Unsolicited(_)) => {}
                     Err(error) => panic!("an answer was refused: {error}"),
                 }
             }
@@ -603,14 +603,14 @@
                 let machine = &mut self.replicas[index];
                 if machine.is_open(life, replica, connection) {
                     let now = machine.clock.local(self.now);
-                    machine.core.as_mut().expect("a life that runs").replica.peer_failed(&name, now);
+                    machine.core.as_mut().expect("a life that runs").replica.on_peer_failure(&name, now);
                 }
             }
             Node::Dispatcher(index) => {
                 let machine = &mut self.dispatchers[index];
                 if machine.is_open(life, replica, connection) {
                     let now = machine.clock.local(self.now);
-                    machine.core.as_mut().expect("a life that runs").subscriber.failed(&name, now);
+                    machine.core.as_mut().expect("a life that runs").subscriber.on_failure(&name, now);
                 }
             }
         }
@@ -642,10 +642,10 @@
             answers.push((to, Happening::Answer { from: index, to, to_life, connection, answer }));
         }
         let mut asks = Vec::new();
-        while let Some(ask) = state.replica.next_ask(now) {
-            asks.push((ask.to, ask.request, ask.give_up_at));
+        while let Some(ask) = state.replica.next_poll(now) {
+            asks.push((ask.to, ask.request, ask.deadline));
         }
-        let next = state.replica.next_wake();
+        let next = state.replica.next_wakeup();
         let watermark = state.replica.fleet_watermark(now);
         let rose = watermark > state.claimed;
         state.claimed = watermark;
@@ -653,8 +653,8 @@
             let answer = self.as_text(answer);
             self.send(Node::Replica(index), to, answer);
         }
-        for (to, request, give_up_at) in asks {
-            self.ask(Node::Replica(index), life, clock, &to, request, give_up_at);
+        for (to, request, deadline) in asks {
+            self.ask(Node::Replica(index), life, clock, &to, request, deadline);
         }
         if let Some(at) = next {
             self.set_alarm(Node::Replica(index), life, clock.global(at));
@@ -672,12 +672,12 @@
             return;
         };
         let mut asks = Vec::new();
-        while let Some(ask) = state.subscriber.next_ask(now) {
-            asks.push((ask.to, ask.request, ask.give_up_at));
+        while let Some(ask) = state.subscriber.next_poll(now) {
+            asks.push((ask.to, ask.request, ask.deadline));
         }
-        let next = state.subscriber.next_wake(now);
-        for (to, request, give_up_at) in asks {
-            self.ask(Node::Dispatcher(index), life, clock, &to, request, give_up_at);
+        let next = state.subscriber.next_wakeup(now);
+        for (to, request, deadline) in asks {
+            self.ask(Node::Dispatcher(index), life, clock, &to, request, deadline);
         }
         if let Some(at) = next {
             self.set_alarm(Node::Dispatcher(index), life, clock.global(at));
@@ -707,7 +707,7 @@
         clock: Clock,
         to: &ReplicaName,
         request: PollRequest,
-        give_up_at: Duration,
+        deadline: Duration,
     ) {
         let to = replica_index(to);
         self.serial += 1;
@@ -717,7 +717,7 @@
             Node::Dispatcher(index) => &mut self.dispatchers[index].asks,
         };
         asks.insert(to, connection);
-        let span = clock.global(give_up_at).saturating_sub(self.now);
+        let span = clock.global(deadline).saturating_sub(self.now);
         self.after(span, Happening::Failed { node: from, life, replica: to, connection });
         let query = request.to_query();
         self.bytes.add(from, query.len() + REQUEST_HEAD);
@@ -860,11 +860,11 @@
             let Some(state) = &machine.core else {
                 continue;
             };
-            if state.subscriber.in_doubt(machine.clock.local(self.now)).is_some() {
+            if state.subscriber.in_doubt_since(machine.clock.local(self.now)).is_some() {
                 continue;
             }
             for (name, record) in &claims {
-                if state.applied.get(name).is_none_or(|applied| applied.stamp_cmp(record).is_lt()) {
+                if state.applied.get(name).is_none_or(|applied| applied.cmp_precedence(record).is_lt()) {
                     let says = format!("{:?}: r{index} says {name:?} is in force, d{at} lacks it", self.now);
                     self.violations.push(says);
                 }
--- a/crates/replication/tests/replication/size.rs
+++ b/crates/replication/tests/replication/size.rs
@@ -15,7 +15,7 @@
     let setting = Setting {
         fault_every: None,
         publish_every: ms(1_000_000_000),
-        batch_most: 5000,
+        max_batch_records: 5000,
         through_text: true,
         full_spans: true,
         look_every: ms(1000),
--- a/crates/replication/tests/replication/work.rs
+++ b/crates/replication/tests/replication/work.rs
@@ -16,7 +16,7 @@
         attachment: Attachment(1),
         leaving: false,
     };
-    PollRequest { log: log.cloned(), since: seq, whole: seq, timeout: Duration::from_secs(1), poller }
+    PollRequest { log: log.cloned(), since: seq, acknowledged: seq, timeout: Duration::from_secs(1), poller }
 }
 
 struct Work {
