--- a/crates/replication/src/compacted_log.rs
+++ b/crates/replication/src/compacted_log.rs
@@ -1,54 +1,55 @@
-//! A replica's log: each name stands once, at the place of its latest change.
+//! A replica's compacted log: it has one record per name, at the sequence number of its latest change.
 //!
-//! A record that is new, or greater than the one of its name, takes the next place; one that changes nothing takes
-//! none, so replicas that read each other's logs come to an end. Who has been told everything up to the last place `n`
-//! has been told the greatest record of each name as of then.
+//! A record that is new, or takes precedence over the known one of its name, gets the next sequence number. A record
+//! that changes nothing gets none, so that replicas that read each other's logs stop exchanging records. A reader that
+//! has received the whole log up to the last sequence number `n` has the record of greatest precedence of each name as
+//! of that time.
 
 use crate::record::{Event, Member, MemberName, MemberState, Record, RecordName, Sequence};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A record at its place.
+/// A record with its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its place.
+    /// The sequence number of the record.
     pub seq: Sequence,
     /// The record.
     pub record: Record,
-    /// When it was taken into this log.
+    /// When the record was added to this log.
     pub added_at: Duration,
 }
 
-/// What a record has changed.
+/// The result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeResult {
-    /// It took a place: it is new, or greater than the one before.
+    /// The record got this sequence number, because it is new or takes precedence over the known one.
     Changed(Sequence),
-    /// It is known, or one that is greater: at this place.
+    /// The record, or one of greater precedence, is already known, at this sequence number.
     Known(Sequence),
 }
 
 /// A part of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSlice {
-    /// In order.
+    /// The records, in order.
     pub events: Vec<Event>,
-    /// All up to here is told.
+    /// The slice contains all records up to this sequence number.
     pub seq: Sequence,
-    /// There is more above.
+    /// Whether the log has more records above `seq`.
     pub more: bool,
 }
 
-/// Which records a reader is told.
+/// Which records a reader receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// Dispatchers: all but members.
+    /// All records except member records.
     Dispatchers,
-    /// Replicas: all.
+    /// All records.
     Replicas,
 }
 
-/// The log.
+/// A compacted log.
 ///
 /// ```
 /// use myrtlegauge_replication::compacted_log::{Audience, CompactedLog, MergeResult};
@@ -56,14 +57,14 @@
 /// use std::time::Duration;
 /// let purge = |unix_ms| Record::Purge(Purge { target: PurgeTarget::Group(17), unix_ms });
 /// let mut log = CompactedLog::default();
-/// assert_eq!(log.join(purge(1000), Duration::ZERO), MergeResult::Changed(Sequence(1)));
-/// assert_eq!(log.join(purge(900), Duration::ZERO), MergeResult::Known(Sequence(1)));
-/// assert_eq!(log.join(purge(1200), Duration::ZERO), MergeResult::Changed(Sequence(2)));
-/// assert_eq!(log.since(Sequence(0), 10, Audience::Dispatchers).events.len(), 1);
+/// assert_eq!(log.merge(purge(1000), Duration::ZERO), MergeResult::Changed(Sequence(1)));
+/// assert_eq!(log.merge(purge(900), Duration::ZERO), MergeResult::Known(Sequence(1)));
+/// assert_eq!(log.merge(purge(1200), Duration::ZERO), MergeResult::Changed(Sequence(2)));
+/// assert_eq!(log.events_after(Sequence(0), 10, Audience::Dispatchers).events.len(), 1);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct CompactedLog {
-    last: Sequence,
+    last_seq: Sequence,
     last_data_seq: Sequence,
     entries: BTreeMap<RecordName, Entry>,
     data: BTreeMap<Sequence, RecordName>,
@@ -73,27 +74,27 @@
 }
 
 impl CompactedLog {
-    /// The last place.
-    pub fn last(&self) -> Sequence {
-        self.last
+    /// The last sequence number.
+    pub fn last_seq(&self) -> Sequence {
+        self.last_seq
     }
 
-    /// The last place that a record other than a member's took.
+    /// The last sequence number of a record other than a member record.
     pub fn last_data_seq(&self) -> Sequence {
         self.last_data_seq
     }
 
-    /// Records that are held, members aside.
+    /// The number of records, without member records.
     pub fn data_count(&self) -> usize {
         self.data.len()
     }
 
-    /// Members that are held.
+    /// The number of member records.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
-    /// The record of a name.
+    /// The record with a name.
     pub fn get(&self, name: &RecordName) -> Option<&Entry> {
         self.entries.get(name)
     }
@@ -106,7 +107,7 @@
         }
     }
 
-    /// All members, in order of their names.
+    /// All member records, in order of their names.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         let first = RecordName::Member(MemberName(String::new()));
         self.entries.range(first..).filter_map(|(_, entry)| match &entry.record {
@@ -115,8 +116,8 @@
         })
     }
 
-    /// Takes a record in: the greater one of its name stays.
-    pub fn join(&mut self, record: Record, now: Duration) -> MergeResult {
+    /// Merges a record. Of two records with the same name, the one of greater precedence is kept.
+    pub fn merge(&mut self, record: Record, now: Duration) -> MergeResult {
         let name = record.name();
         if let Some(known) = self.entries.get(&name)
             && record.cmp_precedence(&known.record).is_le()
@@ -124,8 +125,8 @@
             return MergeResult::Known(known.seq);
         }
         self.remove(&name);
-        self.last.0 += 1;
-        let seq = self.last;
+        self.last_seq.0 += 1;
+        let seq = self.last_seq;
         if name.is_member() {
             self.members.insert(seq, name.clone());
         } else {
@@ -143,8 +144,8 @@
         MergeResult::Changed(seq)
     }
 
-    /// Records above a place, `max_records` of them at most.
-    pub fn since(&self, since: Sequence, max_records: usize, audience: Audience) -> LogSlice {
+    /// Returns the records above `since`, at most `max_records`.
+    pub fn events_after(&self, since: Sequence, max_records: usize, audience: Audience) -> LogSlice {
         let above = Sequence(since.0.saturating_add(1));
         let mut data = self.data.range(above..).peekable();
         let mut members =
@@ -157,7 +158,7 @@
                 (None, _) => members.next(),
             };
             let Some((&seq, name)) = next else {
-                return LogSlice { events, seq: self.last, more: false };
+                return LogSlice { events, seq: self.last_seq, more: false };
             };
             if events.len() >= max_records {
                 let last_returned = events.last().map_or(since, |event: &Event| event.seq);
@@ -169,12 +170,12 @@
         }
     }
 
-    /// Drops purges of before a Unix time, in milliseconds; how many.
+    /// Drops purges from before a Unix time. Returns how many were dropped.
     pub fn drop_purges_before(&mut self, unix_ms: u64) -> u64 {
         drop_before(self, unix_ms, |log| &log.purges_by_time)
     }
 
-    /// Forgets members that left before a Unix time, in milliseconds; how many.
+    /// Drops the records of members that left before a Unix time. Returns how many were dropped.
     pub fn drop_members_left_before(&mut self, unix_ms: u64) -> u64 {
         drop_before(self, unix_ms, |log| &log.left_members_by_time)
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,6 +1,8 @@
-//! Purges and configuration reach every dispatcher through replicas, and a replica says truthfully when each is in force.
+//! Replicates purges, the host list and configurations to every dispatcher through replicas. A replica reports a record
+//! as in force only once every dispatcher that is not in doubt has applied it.
 //!
-//! The core alone: time, polls and answers come in; answers and verdicts go out. See `docs/replication.md`.
+//! This crate has the logic alone, without clocks or sockets: time, polls and answers are passed in; polls, answers and
+//! verdicts are returned. See `docs/replication.md`.
 
 mod checks;
 pub mod compacted_log;
--- a/crates/replication/src/members.rs
+++ b/crates/replication/src/members.rs
@@ -1,27 +1,29 @@
-//! Members: those attached here, with what they have acknowledged, and where the others are attached.
+//! Members: the dispatchers attached to this replica, with what they have acknowledged, and the replicas that the other
+//! members are attached to.
 //!
-//! Each question a poll asks is answered by the end of an ordered set; none looks at all members.
+//! Each query that a poll needs reads the end of an ordered set, so that the work does not grow with the number of
+//! members.
 
 use crate::record::{MemberName, ReplicaName, Sequence};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A place in a peer's log that is not known yet: above all that are.
+/// Stands for a sequence number in a peer's log that is not known yet. It is above all known ones.
 const UNKNOWN_SEQ: Sequence = Sequence(u64::MAX);
 
-/// One dispatcher attached here.
+/// One dispatcher attached to this replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
-    /// The place of its record in this replica's log.
+    /// The sequence number of the member record in this replica's log.
     pub record_seq: Sequence,
-    /// All that this log held at this place is applied there.
+    /// The dispatcher has applied this replica's log up to this sequence number.
     pub acknowledged: Sequence,
     pub last_poll_at: Duration,
-    /// A majority knows its record; what it has to acknowledge to be attached.
+    /// What the dispatcher has to acknowledge to be attached, or `None` until a majority has the member record.
     pub required_seq: Option<Sequence>,
-    /// Its attach is complete.
+    /// Whether the attachment is complete.
     pub attached: bool,
-    /// The last answer left then.
+    /// When the last answer was sent, if the next one has to wait for the batch interval.
     pub answered_at: Option<Duration>,
 }
 
@@ -38,12 +40,13 @@
     }
 }
 
-/// The dispatchers attached here.
+/// The dispatchers attached to this replica.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sessions {
     sessions: BTreeMap<MemberName, Session>,
     by_acknowledged: BTreeSet<(Sequence, MemberName)>,
     by_last_poll: BTreeSet<(Duration, MemberName)>,
+    /// Those whose member record is not known to be read by a majority, by its sequence number.
     awaiting_quorum: BTreeSet<(Sequence, MemberName)>,
 }
 
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Takes an acknowledgement; one that is older changes nothing, since nothing that was applied is taken back.
+    /// Records an acknowledgement. An older one changes nothing, because applied records stay applied.
     pub fn acknowledge(&mut self, name: &MemberName, seq: Sequence) {
         let Some(session) = self.sessions.get_mut(name).filter(|session| session.acknowledged < seq) else {
             return;
@@ -93,7 +96,8 @@
         self.by_acknowledged.insert((seq, name.clone()));
     }
 
-    /// Makes the attach complete if a majority knows the member and it has acknowledged what that takes.
+    /// Completes the attachment if a majority has the member record and the member has acknowledged the required
+    /// sequence number. Returns whether the attachment has just become complete.
     pub fn try_complete_attach(&mut self, name: &MemberName) -> bool {
         let Some(session) = self.sessions.get_mut(name).filter(|session| !session.attached) else {
             return false;
@@ -103,8 +107,8 @@
         session.attached
     }
 
-    /// A majority has read this log up to `read`: members whose records stand there have to acknowledge `required_seq`.
-    /// Their names.
+    /// Requires the members whose records are at `read` or below, which a majority has read, to acknowledge
+    /// `required_seq`. Returns their names.
     pub fn set_required_seq(&mut self, read: Sequence, required_seq: Sequence) -> Vec<MemberName> {
         let mut confirmed_names = Vec::new();
         while let Some((seq, _)) = self.awaiting_quorum.first()
@@ -119,12 +123,12 @@
         confirmed_names
     }
 
-    /// What all have acknowledged; none: nobody is attached.
+    /// The sequence number that all have acknowledged, or `None` if no dispatcher is attached.
     pub fn min_acknowledged(&self) -> Option<Sequence> {
         self.by_acknowledged.first().map(|(seq, _)| *seq)
     }
 
-    /// Those who have not acknowledged a place.
+    /// The members that have not acknowledged a sequence number.
     pub fn lagging_behind(&self, seq: Sequence) -> impl Iterator<Item = &MemberName> {
         self.by_acknowledged
             .iter()
@@ -132,13 +136,13 @@
             .map(|(_, name)| name)
     }
 
-    /// When the one that was silent for longest was heard.
-    pub fn longest_silent(&self) -> Option<(Duration, &MemberName)> {
+    /// The member whose last poll is the oldest, with the time of that poll.
+    pub fn longest_idle(&self) -> Option<(Duration, &MemberName)> {
         self.by_last_poll.first().map(|(last_poll_at, name)| (*last_poll_at, name))
     }
 }
 
-/// Where the others are attached, and the places of their records in the logs of those replicas.
+/// The members attached to other replicas, with the sequence numbers of their records in the logs of those replicas.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RemoteMembers {
     locations: BTreeMap<MemberName, (ReplicaName, Sequence)>,
@@ -146,13 +150,13 @@
 }
 
 impl RemoteMembers {
-    /// A member is attached at another replica; the place of its record there is not known yet.
-    pub fn attached(&mut self, name: &MemberName, replica: &ReplicaName) {
+    /// Adds a member attached to another replica. The sequence number of its record there is not known yet.
+    pub fn add(&mut self, name: &MemberName, replica: &ReplicaName) {
         self.remove(name);
         self.insert(name, replica, UNKNOWN_SEQ);
     }
 
-    /// The record of a member was read in the log of the replica where it is attached.
+    /// Sets the sequence number of a member record, read in the log of the replica that the member is attached to.
     pub fn set_seq(&mut self, name: &MemberName, replica: &ReplicaName, seq: Sequence) {
         if self.locations.get(name).is_some_and(|(at, known_seq)| at == replica && *known_seq == UNKNOWN_SEQ)
         {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// A member is attached at no other replica.
+    /// Removes a member, which is no longer attached to another replica.
     pub fn remove(&mut self, name: &MemberName) {
         let Some((replica, seq)) = self.locations.remove(name) else {
             return;
@@ -175,28 +179,28 @@
         }
     }
 
-    /// A replica has another log: no place in it is known.
+    /// Forgets the sequence numbers in a replica's log, because that replica has a new log.
     pub fn forget_seqs(&mut self, replica: &ReplicaName) {
         let members_there = self.by_replica.get(replica);
         let names: Vec<MemberName> =
             members_there.into_iter().flatten().map(|(_, name)| name.clone()).collect();
-        names.iter().for_each(|name| self.attached(name, replica));
+        names.iter().for_each(|name| self.add(name, replica));
     }
 
-    /// The replicas where members are attached, with the highest place of a record there.
+    /// The replicas that members are attached to, each with the highest sequence number of a member record there.
     pub fn highest_seqs(&self) -> impl Iterator<Item = (&ReplicaName, Sequence)> {
         self.by_replica.iter().filter_map(|(replica, members_there)| Some((replica, members_there.last()?.0)))
     }
 
-    /// Those attached at a replica whose records stand above a place.
+    /// The members attached to a replica whose records there are above a sequence number.
     pub fn members_above(&self, replica: &ReplicaName, seq: Sequence) -> impl Iterator<Item = &MemberName> {
         let members_there =
             self.by_replica.get(replica).into_iter().flat_map(|members_there| members_there.iter().rev());
         members_there.take_while(move |(known_seq, _)| *known_seq > seq).map(|(_, name)| name)
     }
 
-    /// Those attached at a replica.
-    pub fn at(&self, replica: &ReplicaName) -> impl Iterator<Item = &MemberName> {
+    /// The members attached to a replica.
+    pub fn members_at(&self, replica: &ReplicaName) -> impl Iterator<Item = &MemberName> {
         self.by_replica.get(replica).into_iter().flatten().map(|(_, name)| name)
     }
 
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: what is read of their logs, and what their answers said of this one.
+//! Peers: the state of reading their logs, and what they reported about this replica's log.
 
 use crate::poll::{PollAnswer, ReplicaReport, ReplicaStanding};
 use crate::record::{LogId, MemberName, ReplicaName, Sequence};
@@ -14,17 +14,17 @@
     pub deadline: Duration,
 }
 
-/// What the last whole answer of a peer said.
+/// The content of the last complete answer of a peer, that is one without `more`.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedReport {
-    /// When it was asked for: the peer answered after this.
+    /// When the poll was sent. The peer answered after this time.
     pub sent_at: Duration,
     pub standing: ReplicaStanding,
-    /// The peer's log is read up to here, and the report is as of here.
+    /// The sequence number of the peer's log up to which it is read, and as of which the report was made.
     pub as_of: Sequence,
-    /// This log is read there up to here.
+    /// The peer has read this replica's log up to this sequence number.
     pub read: Sequence,
-    /// This log is applied up to here at the dispatchers attached there.
+    /// This replica's log is applied up to this sequence number at the dispatchers attached to the peer.
     pub applied: Sequence,
     pub lagging: Vec<MemberName>,
 }
@@ -32,27 +32,27 @@
 /// One peer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peer {
-    /// The log of it that is read.
+    /// The peer's log that is being read.
     pub log: Option<LogId>,
     pub since: Sequence,
     pub acknowledged: Sequence,
     pub open_poll: Option<OpenPoll>,
-    /// Not asked before.
+    /// The earliest time of the next poll.
     pub next_poll_at: Duration,
     pub report: Option<ReceivedReport>,
-    /// It answered as established what was asked after this replica's hold.
+    /// The peer, being established, answered a poll sent after this replica's start-up hold.
     pub read_established: bool,
-    /// It answered, past its own hold, what was asked after this replica's hold.
+    /// The peer, after its own start-up hold, answered a poll sent after this replica's start-up hold.
     pub read_after_hold: bool,
     pub seq_translation: SeqTranslation,
-    /// What it was last told of its log.
+    /// The last report about the peer's log that was sent to the peer.
     pub last_sent_report: Option<ReplicaReport>,
-    /// The last answer to it left then.
+    /// When the last answer to the peer was sent, if the next one has to wait for the batch interval.
     pub answered_at: Option<Duration>,
 }
 
 impl Peer {
-    /// Another log is read from its start.
+    /// Starts to read a new log of the peer from the beginning.
     pub fn reset_to_log(&mut self, log: &LogId) {
         self.log = Some(log.clone());
         self.since = Sequence(0);
@@ -61,7 +61,7 @@
         self.seq_translation.clear();
     }
 
-    /// Takes what a whole answer says beside its records.
+    /// Stores what a complete answer reports beside its records.
     pub fn store_report(&mut self, answer: &PollAnswer, sent_at: Duration, own_log: &LogId) {
         let report = answer.report.as_ref().filter(|report| report.log == *own_log);
         self.report = Some(ReceivedReport {
@@ -74,7 +74,7 @@
         });
     }
 
-    /// The last report, if it was asked for at `oldest` or later by an established peer.
+    /// The last report, if its poll was sent at `oldest` or later and the peer is established.
     pub fn recent_report(&self, oldest: Duration) -> Option<&ReceivedReport> {
         self.report.as_ref().filter(|report| report.sent_at >= oldest && report.standing.is_established())
     }
@@ -83,11 +83,11 @@
 /// The peers by name.
 pub(crate) type Peers = BTreeMap<ReplicaName, Peer>;
 
-/// What the `count` peers that read most have all read of this log, by reports asked for at `oldest` or later; none:
-/// fewer were heard.
+/// The sequence number of this replica's log that at least `count` peers have read, by reports whose polls were sent at
+/// `oldest` or later. `None` if there are fewer such reports.
 pub(crate) fn seq_read_by(peers: &Peers, count: usize, oldest: Duration) -> Option<Sequence> {
-    let recent_report = peers.values().filter_map(|peer| peer.recent_report(oldest));
-    let mut read: Vec<Sequence> = recent_report.map(|report| report.read).collect();
+    let recent_reports = peers.values().filter_map(|peer| peer.recent_report(oldest));
+    let mut read: Vec<Sequence> = recent_reports.map(|report| report.read).collect();
     read.sort_unstable_by(|one, other| other.cmp(one));
     match count.checked_sub(1) {
         None => Some(Sequence(u64::MAX)),
--- a/crates/replication/src/poll.rs
+++ b/crates/replication/src/poll.rs
@@ -1,7 +1,7 @@
-//! Polls and answers: the change log's own long poll with more fields.
+//! Polls and answers: the long poll of the change log, with additional fields.
 //!
-//! `GET /changes?since=N&timeout=MS&log=ID&acknowledged=W&role=dispatcher&name=NAME&incarnation=MS&attachment=K` is answered by
-//! `{"log":"ID","seq":LAST,"attached":true,"results":[events...]}`.
+//! `GET /changes?since=N&timeout=MS&log=ID&acknowledged=W&role=dispatcher&name=NAME&incarnation=MS&attachment=K` is
+//! answered by `{"log":"ID","seq":LAST,"attached":true,"results":[events...]}`.
 
 use crate::errors::{AnswerError, PollError};
 use crate::record::{Attachment, Event, Incarnation, LogId, MemberName, ReplicaName, Sequence};
@@ -9,115 +9,118 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes of a name.
+/// The maximum length of a name.
 pub(crate) const MAX_NAME_BYTES: usize = 255;
-/// Characters of a value that an error repeats.
+/// The maximum length of an invalid value in an error text.
 const MAX_ERROR_VALUE_CHARS: usize = 64;
 
-/// Who polls.
+/// The sender of a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Poller {
-    /// A reader that is no member: it is answered, and nothing waits for it.
+    /// A reader that is no member. It is answered, and no record waits for its acknowledgement.
     Reader,
-    /// It asks whether the replica is there: it is answered at once, without records.
+    /// A check of whether the replica answers. It is answered immediately, without records.
     Probe,
-    /// A dispatcher under one of its attachments.
+    /// A dispatcher, under one of its attachments.
     Dispatcher {
-        /// Its name.
+        /// The name of the dispatcher.
         name: MemberName,
-        /// Which process.
+        /// The process of the dispatcher.
         incarnation: Incarnation,
-        /// Which of its choices of a replica.
+        /// The attachment of that process.
         attachment: Attachment,
-        /// It ends after this poll: nothing is to wait for it.
+        /// The dispatcher shuts down after this poll, so that no record waits for it any more.
         leaving: bool,
     },
     /// A peer.
     Replica {
-        /// Its name.
+        /// The name of the peer.
         name: ReplicaName,
-        /// Its own log, of which reports to it speak.
+        /// The log of the peer. Reports sent to the peer refer to it.
         own_log: LogId,
     },
 }
 
-/// A poll as its query says it.
+/// The content of a poll, as given by its query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollRequest {
-    /// The log in which `since` and `acknowledged` count; none at the first poll.
+    /// The log that `since` and `acknowledged` refer to, or `None` at the first poll.
     pub log: Option<LogId>,
-    /// What is above it is asked for; all answers up to it were taken.
+    /// Records above this sequence number are requested. All answers up to it were accepted.
     pub since: Sequence,
-    /// The `seq` of the last answer without `more`: all that the log held then is applied.
+    /// The `seq` of the last answer without `more`. All that the log contained then is applied. The query field is
+    /// `whole`.
     pub acknowledged: Sequence,
-    /// How long the replica may keep the poll without news.
+    /// How long the replica may hold the poll while it has no new records.
     pub timeout: Duration,
-    /// Who polls.
+    /// The sender of the poll.
     pub poller: Poller,
 }
 
-/// How far a replica is after its start. One that is not established tells what it has, and counts in no majority.
+/// The progress of a replica after its start. One that is not established returns the records that it has, and counts
+/// in no majority.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaStanding {
-    /// Within its start-up hold.
+    /// The start-up hold is running.
     Starting,
-    /// The hold is over, and it has not read enough peers since.
+    /// The start-up hold is over, and too few peers have been read since.
     Waiting,
-    /// It knows all that a majority knew at its start.
+    /// The replica has all records that a majority had when it started.
     #[default]
     Established,
 }
 
 impl ReplicaStanding {
-    /// Whether it counts in majorities.
+    /// Whether the replica counts in majorities.
     pub fn is_established(&self) -> bool {
         *self == Self::Established
     }
 }
 
-/// What a replica tells a peer of the peer's own log, as of the answer that carries it.
+/// What a replica reports to a peer about the peer's own log, as of the answer that contains the report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaReport {
-    /// The peer's log of which this speaks.
+    /// The log of the peer that this report refers to.
     pub log: LogId,
-    /// The peer's log is read, and joined, up to here.
+    /// The peer's log is read and merged up to this sequence number.
     pub read: Sequence,
-    /// The peer's log up to here is applied at each dispatcher attached at the reporting replica.
+    /// The peer's log is applied up to this sequence number at every dispatcher attached to the reporting replica.
     pub applied: Sequence,
-    /// Dispatchers that hold `applied` back; the first few.
+    /// The first few dispatchers that hold `applied` back.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub lagging: Vec<MemberName>,
 }
 
-/// An answer to a poll; in JSON `{"log":"ID","seq":LAST,"results":[...]}` and what else there is to say.
+/// An answer to a poll. The JSON form is `{"log":"ID","seq":LAST,"results":[...]}`, plus the fields that differ from
+/// their defaults.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollAnswer {
-    /// The log in which `seq` counts.
+    /// The log that `seq` refers to.
     pub log: LogId,
     /// The poller's next `since`.
     pub seq: Sequence,
-    /// There is more above `seq`: it doesn't become `acknowledged`.
+    /// The log has more records above `seq`, so `seq` does not become `acknowledged`.
     #[serde(default, skip_serializing_if = "is_false")]
     pub more: bool,
-    /// The poller's attach is complete: it is in doubt no more, for the doubt span from when it sent this poll.
+    /// The poller's attachment is complete. The poller is not in doubt until the doubt timeout after it sent this poll.
     #[serde(default, skip_serializing_if = "is_false")]
     pub attached: bool,
-    /// How far the replica is after its start; only at an established one can an attach complete.
+    /// The progress of the replica after its start. Attachments complete only at an established replica.
     #[serde(default, skip_serializing_if = "ReplicaStanding::is_established")]
     pub standing: ReplicaStanding,
-    /// The poller's attachment is over: it has to attach anew.
+    /// The poller's attachment is superseded, and the poller has to attach again.
     #[serde(default, skip_serializing_if = "is_false")]
     pub superseded: bool,
-    /// To a peer: how far its log has come here.
+    /// In answers to a peer: how far its log is read and applied here.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub report: Option<ReplicaReport>,
-    /// Records above `since`, in order.
+    /// The records above `since`, in order.
     pub results: Vec<Event>,
 }
 
 impl PollRequest {
-    /// Reads the query of `GET /changes?...`, the part after the question mark. Fields that aren't known are passed over.
+    /// Parses the query of `GET /changes?...`, the part after the question mark. Unknown fields are ignored.
     ///
     /// ```
     /// use myrtlegauge_replication::{PollRequest, Poller};
@@ -125,12 +128,12 @@
     /// let request = PollRequest::from_query(query)?;
     /// assert_eq!(request.since.0, 7);
     /// assert_eq!(PollRequest::from_query(&request.to_query())?, request);
-    /// // A reader that knows nothing of replication.
+    /// // A reader without the fields of replication.
     /// assert_eq!(PollRequest::from_query("since=7&timeout=500")?.poller, Poller::Reader);
     /// # Ok::<(), myrtlegauge_replication::PollError>(())
     /// ```
     pub fn from_query(query: &str) -> Result<Self, PollError> {
-        let fields = Fields::read(query)?;
+        let fields = Fields::parse(query)?;
         let poller = match fields.text("role") {
             None => Poller::Reader,
             Some("probe") => Poller::Probe,
@@ -155,35 +158,35 @@
         })
     }
 
-    /// The query that [`PollRequest::from_query`] reads.
+    /// The query that [`PollRequest::from_query`] parses.
     pub fn to_query(&self) -> String {
         let mut query = format!("since={}&timeout={}", self.since, self.timeout.as_millis());
-        let mut add = |field: &str, value: &str| {
+        let mut add_field = |field: &str, value: &str| {
             query.push('&');
             query.push_str(field);
             query.push('=');
             encode(value, &mut query);
         };
         if let Some(log) = &self.log {
-            add("log", &log.0);
-            add("whole", &self.acknowledged.to_string());
+            add_field("log", &log.0);
+            add_field("whole", &self.acknowledged.to_string());
         }
         match &self.poller {
             Poller::Reader => {}
-            Poller::Probe => add("role", "probe"),
+            Poller::Probe => add_field("role", "probe"),
             Poller::Dispatcher { name, incarnation, attachment, leaving } => {
-                add("role", "dispatcher");
-                add("name", &name.0);
-                add("incarnation", &incarnation.to_string());
-                add("attachment", &attachment.to_string());
+                add_field("role", "dispatcher");
+                add_field("name", &name.0);
+                add_field("incarnation", &incarnation.to_string());
+                add_field("attachment", &attachment.to_string());
                 if *leaving {
-                    add("leaving", "1");
+                    add_field("leaving", "1");
                 }
             }
             Poller::Replica { name, own_log } => {
-                add("role", "replica");
-                add("name", &name.0);
-                add("own_log", &own_log.0);
+                add_field("role", "replica");
+                add_field("name", &name.0);
+                add_field("own_log", &own_log.0);
             }
         }
         query
@@ -191,7 +194,7 @@
 }
 
 impl PollAnswer {
-    /// Reads an answer's JSON.
+    /// Parses the JSON of an answer.
     ///
     /// ```
     /// use myrtlegauge_replication::PollAnswer;
@@ -201,37 +204,38 @@
     /// # Ok::<(), myrtlegauge_replication::AnswerError>(())
     /// ```
     pub fn from_json(body: &str) -> Result<Self, AnswerError> {
-        serde_json::from_str(body).map_err(|why| AnswerError::Unreadable(why.to_string()))
+        serde_json::from_str(body).map_err(|error| AnswerError::Unreadable(error.to_string()))
     }
 
     /// The answer as JSON.
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("an answer has text keys alone, and is written to memory")
+        serde_json::to_string(self).expect("an answer has only string keys, and is written to memory")
     }
 
-    /// Checks that events stand in order, above `since` and up to `seq`; the first that doesn't.
+    /// Checks that events are in ascending order, above `since` and up to `seq`. The error is the first event that is
+    /// not.
     pub(crate) fn check_order(&self, since: Sequence) -> Result<(), Sequence> {
-        let mut before = since;
+        let mut previous = since;
         for event in &self.results {
-            if event.seq <= before || event.seq > self.seq {
+            if event.seq <= previous || event.seq > self.seq {
                 return Err(event.seq);
             }
-            before = event.seq;
+            previous = event.seq;
         }
         Ok(())
     }
 }
 
-/// The fields of a query. Of one that is given twice the last counts.
+/// The fields of a query. If a field is given twice, the last one counts.
 struct Fields(BTreeMap<String, String>);
 
 impl Fields {
-    fn read(query: &str) -> Result<Self, PollError> {
+    fn parse(query: &str) -> Result<Self, PollError> {
         let mut fields = BTreeMap::new();
         for part in query.split('&').filter(|part| !part.is_empty()) {
             let (field, value) = part.split_once('=').unwrap_or((part, ""));
             let decoded =
-                decode(value).ok_or_else(|| invalid("value", value, "text in UTF-8, percent-encoded"))?;
+                decode(value).ok_or_else(|| invalid("value", value, "percent-encoded UTF-8 text"))?;
             fields.insert(field.to_owned(), decoded);
         }
         Ok(Self(fields))
@@ -268,7 +272,7 @@
     PollError::InvalidField { field, value, expected }
 }
 
-/// Percent-encodes all but what RFC 3986 leaves unreserved.
+/// Percent-encodes all characters except the unreserved ones of RFC 3986.
 fn encode(value: &str, out: &mut String) {
     for byte in value.bytes() {
         match byte {
@@ -280,17 +284,17 @@
 
 fn decode(value: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(value.len());
-    let mut rest = value.bytes();
-    while let Some(byte) = rest.next() {
+    let mut remaining = value.bytes();
+    while let Some(byte) = remaining.next() {
         bytes.push(match byte {
-            b'%' => hex(rest.next()?)? * 16 + hex(rest.next()?)?,
+            b'%' => hex_value(remaining.next()?)? * 16 + hex_value(remaining.next()?)?,
             _ => byte,
         });
     }
     String::from_utf8(bytes).ok()
 }
 
-fn hex(digit: u8) -> Option<u8> {
+fn hex_value(digit: u8) -> Option<u8> {
     let digit = char::from(digit).to_digit(16)?;
     u8::try_from(digit).ok()
 }
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -1,4 +1,5 @@
-//! Records: what is replicated. Each has a name and a stamp; of two records of one name the greater stamp wins.
+//! Replicated records. Each has a name and a precedence. Of two records with the same name, the one with the greater
+//! precedence is kept.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -44,7 +45,7 @@
 }
 
 name_type!(
-    /// The name of a replica (a seat among the replicas; the machine behind it may be replaced).
+    /// The name of a replica. It names a position in the set of replicas; the machine behind it may be replaced.
     ReplicaName
 );
 name_type!(
@@ -52,19 +53,19 @@
     MemberName
 );
 name_type!(
-    /// The identity of one life of one replica's log: sequence numbers are only compared under the same one.
+    /// Identifies the log of one process of one replica. Sequence numbers are comparable only within the same log.
     LogId
 );
 number_type!(
-    /// A position in one replica's log. Zero stands before the first record.
+    /// A sequence number in one replica's log. Zero is before the first record.
     Sequence
 );
 number_type!(
-    /// The start of a process, in Unix milliseconds: a later process of the same name has a greater one.
+    /// The start of a process, in Unix milliseconds. A later process of the same name has a greater incarnation.
     Incarnation
 );
 number_type!(
-    /// How often a process chose a replica: a later choice has a greater one.
+    /// How many times a process has attached to a replica. A later attachment has a greater number.
     Attachment
 );
 number_type!(
@@ -83,29 +84,29 @@
     Group(u64),
 }
 
-/// Copies of the target that were made before the time are not to be served. The stamp is the time.
+/// Cached copies of the target made before the given time must not be served. The precedence is the time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Purge {
     /// What is purged.
     #[serde(flatten)]
     pub target: PurgeTarget,
-    /// Unix milliseconds.
+    /// The time of the purge, in Unix milliseconds.
     #[serde(rename = "time")]
     pub unix_ms: u64,
 }
 
-/// One line of the list of cache hosts. The stamp is the version.
+/// One line of the list of cache hosts. The precedence is the version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostLine {
     /// The name of the host.
     pub name: String,
-    /// Which edition of the line this is.
+    /// The version of the line.
     pub version: Version,
-    /// The endpoint as the change log tells it: `{"name":...,"address":...,"status":...}`.
+    /// The endpoint in the form of the change log: `{"name":...,"address":...,"status":...}`.
     pub endpoint: Value,
 }
 
-/// A host line in the change log's form: a part of the list, with one endpoint.
+/// A host line in the form of the change log: a partial host list with one endpoint.
 #[derive(Serialize, Deserialize)]
 struct FleetForm {
     snapshot: bool,
@@ -126,52 +127,54 @@
         use serde::de::Error;
         let FleetForm { snapshot, version, mut endpoints } = FleetForm::deserialize(deserializer)?;
         let endpoint = endpoints.pop().filter(|_| endpoints.is_empty() && !snapshot);
-        let endpoint =
-            endpoint.ok_or_else(|| D::Error::custom("a host line has one endpoint and is no snapshot"))?;
+        let endpoint = endpoint.ok_or_else(|| {
+            D::Error::custom("a host line must have exactly one endpoint and must not be a snapshot")
+        })?;
         let name = endpoint.get("name").and_then(Value::as_str);
-        let name = name.ok_or_else(|| D::Error::custom("an endpoint without a name"))?.to_owned();
+        let name =
+            name.ok_or_else(|| D::Error::custom("the endpoint of a host line has no name"))?.to_owned();
         Ok(Self { name, version, endpoint })
     }
 }
 
-/// One named configuration. The stamp is the version.
+/// One named configuration. The precedence is the version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
     /// The name of the configuration.
     pub name: String,
-    /// Which edition of the configuration this is.
+    /// The version of the configuration.
     pub version: Version,
-    /// The configuration itself.
+    /// The content of the configuration.
     pub body: Value,
 }
 
-/// Whether a member is attached. Of two records of the same attachment, the one that left wins.
+/// Whether a member is attached. Of two records of the same attachment, the one with `Left` is kept.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It polls this replica.
+    /// The member polls this replica.
     AttachedAt(ReplicaName),
-    /// It said so, or its lease expired: Unix milliseconds of that.
+    /// The member left, or its lease expired, at this time in Unix milliseconds.
     Left(u64),
 }
 
-/// A dispatcher and where it polls. The stamp is (incarnation, attachment, state).
+/// A dispatcher and the replica that it polls. The precedence is (incarnation, attachment, state).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The name of the dispatcher.
     pub name: MemberName,
-    /// Which process.
+    /// The process of the dispatcher.
     pub incarnation: Incarnation,
-    /// Which of its choices of a replica.
+    /// The attachment of that process.
     pub attachment: Attachment,
-    /// Attached, or left.
+    /// Whether the dispatcher is attached or has left.
     pub state: MemberState,
 }
 
-/// What is replicated.
+/// A replicated record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Copies before a time are not to be served.
+    /// Cached copies made before a time must not be served.
     #[serde(rename = "invalidate")]
     Purge(Purge),
     /// A line of the list of cache hosts.
@@ -180,12 +183,12 @@
     /// A named configuration.
     #[serde(rename = "configuration")]
     Configuration(Configuration),
-    /// A dispatcher and where it polls.
+    /// A dispatcher and the replica that it polls.
     #[serde(rename = "member")]
     Member(Member),
 }
 
-/// The name under which a record stands: one record is kept of each.
+/// The name of a record. One record is kept per name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordName {
     /// A purge of an object.
@@ -200,10 +203,10 @@
     Member(MemberName),
 }
 
-/// One record at its place in a replica's log; in JSON `{"seq":42,"invalidate":{...}}`.
+/// One record with its sequence number in a replica's log. The JSON form is `{"seq":42,"invalidate":{...}}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// The place.
+    /// The sequence number of the record.
     pub seq: Sequence,
     /// The record.
     #[serde(flatten)]
@@ -211,14 +214,14 @@
 }
 
 impl RecordName {
-    /// Whether it is a member's: such records are for replicas alone.
+    /// Whether this names a member record. Member records are sent to replicas only.
     pub fn is_member(&self) -> bool {
         matches!(self, Self::Member(_))
     }
 }
 
 impl Record {
-    /// The name under which it stands.
+    /// The name of the record.
     ///
     /// ```
     /// use myrtlegauge_replication::{Purge, PurgeTarget, Record, RecordName};
@@ -237,37 +240,38 @@
         }
     }
 
-    /// Compares the stamps of two records of one name. It is a total order, so all replicas keep the same one: of two
-    /// bodies under one version, which is a conflict, the one whose JSON is greater.
+    /// Compares the precedence of two records with the same name. The order is total, so that all replicas keep the
+    /// same record. Two bodies with the same version are a conflict, and the one with the greater JSON text takes
+    /// precedence.
     ///
     /// ```
     /// use myrtlegauge_replication::{Configuration, Record, Version};
-    /// let edition = |version| {
+    /// let configuration = |version| {
     ///     let name = "limits".to_owned();
     ///     Record::Configuration(Configuration { name, version: Version(version), body: true.into() })
     /// };
-    /// assert!(edition(3).cmp_precedence(&edition(2)).is_gt());
+    /// assert!(configuration(3).cmp_precedence(&configuration(2)).is_gt());
     /// ```
     pub fn cmp_precedence(&self, other: &Self) -> Ordering {
         match (self, other) {
             (Self::Purge(ours), Self::Purge(theirs)) => ours.unix_ms.cmp(&theirs.unix_ms),
             (Self::HostLine(ours), Self::HostLine(theirs)) => {
-                versions_cmp((ours.version, &ours.endpoint), (theirs.version, &theirs.endpoint))
+                cmp_versions((ours.version, &ours.endpoint), (theirs.version, &theirs.endpoint))
             }
             (Self::Configuration(ours), Self::Configuration(theirs)) => {
-                versions_cmp((ours.version, &ours.body), (theirs.version, &theirs.body))
+                cmp_versions((ours.version, &ours.body), (theirs.version, &theirs.body))
             }
             (Self::Member(ours), Self::Member(theirs)) => ours.precedence().cmp(&theirs.precedence()),
             _ => self.name().cmp(&other.name()),
         }
     }
 
-    /// Whether both have one version and another body.
+    /// Whether both records have the same version and different bodies.
     pub fn conflicts_with(&self, other: &Self) -> bool {
         self.version().is_some() && self.version() == other.version() && self != other
     }
 
-    /// The version, of a host line or a configuration.
+    /// The version of a host line or a configuration.
     pub fn version(&self) -> Option<Version> {
         match self {
             Self::HostLine(line) => Some(line.version),
@@ -276,7 +280,7 @@
         }
     }
 
-    /// The kind of record, for messages.
+    /// The kind of the record, for messages.
     pub(crate) fn kind(&self) -> &'static str {
         match self {
             Self::Purge(_) => "purge",
@@ -288,12 +292,12 @@
 }
 
 impl Member {
-    /// The stamp: of two records of one member the greater one wins.
+    /// The precedence. Of two records of one member, the one with the greater precedence is kept.
     pub fn precedence(&self) -> (Incarnation, Attachment, &MemberState) {
         (self.incarnation, self.attachment, &self.state)
     }
 
-    /// The replica where it polls; none if it left.
+    /// The replica that the member polls, or `None` if the member has left.
     pub fn replica(&self) -> Option<&ReplicaName> {
         match &self.state {
             MemberState::AttachedAt(replica) => Some(replica),
@@ -302,7 +306,7 @@
     }
 }
 
-fn versions_cmp(ours: (Version, &Value), theirs: (Version, &Value)) -> Ordering {
+fn cmp_versions(ours: (Version, &Value), theirs: (Version, &Value)) -> Ordering {
     let by_version = ours.0.cmp(&theirs.0);
     by_version.then_with(|| ours.1.to_string().cmp(&theirs.1.to_string()))
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica: takes publications and polls, polls its peers, and says what is in force.
+//! A replica: accepts publications and polls, polls its peers, and determines which records are in force.
 
 mod claims;
 mod joining;
@@ -19,55 +19,56 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The driver's number of one poll that waits: not used again while it waits.
+/// The caller's number of a waiting poll. It must not be reused while the poll waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PollId(pub u64);
 
-/// Who a replica is, and its bounds. [`ReplicaConfig::new`] has the defaults.
+/// The configuration of a replica. [`ReplicaConfig::new`] sets the defaults.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// Its name.
+    /// The name of the replica.
     pub name: ReplicaName,
-    /// The other replicas, all of them: a majority is counted of these and itself.
+    /// All other replicas. A majority is counted over these and the replica itself.
     pub peers: Vec<ReplicaName>,
-    /// The identity of this life's log; no other life of any replica may have it.
+    /// Identifies the log of this process. No other process of any replica may use the same identity.
     pub log: LogId,
-    /// Unix milliseconds at the start.
+    /// The start of this process.
     pub incarnation: Incarnation,
-    /// An answer to one poller leaves at the earliest this long after the one before.
+    /// The minimum time between two answers to the same poller.
     pub batch_interval: Duration,
-    /// Records in one answer.
+    /// The maximum number of records in one answer.
     pub max_batch_records: usize,
-    /// How long a poll of a peer may wait there.
+    /// How long a peer may hold a poll of this replica.
     pub peer_timeout: Duration,
-    /// A poll of a peer is given up this long after its timeout.
+    /// A poll of a peer counts as failed this long after its timeout.
     pub peer_timeout_margin: Duration,
-    /// Between a poll that failed and the next.
+    /// The delay between a failed poll of a peer and the next one.
     pub peer_retry_delay: Duration,
-    /// Purges older than this are older than any copy: they are dropped.
+    /// Purges older than this are dropped, because no cached copy is that old.
     pub purge_retention: Duration,
-    /// How far ahead of this replica's clock a purge may be.
+    /// How far the time of a purge may be ahead of this replica's clock.
     pub max_clock_ahead: Duration,
-    /// The dispatchers' doubt span: see [`SubscriberConfig::doubt_after`](crate::SubscriberConfig::doubt_after).
+    /// The doubt timeout of the dispatchers, see
+    /// [`SubscriberConfig::doubt_after`](crate::SubscriberConfig::doubt_after).
     pub doubt_after: Duration,
-    /// A silent member is held for gone after this.
+    /// A member that has not polled for this long counts as having left.
     pub member_lease: Duration,
-    /// A member that left is forgotten after this.
+    /// How long the record of a member that left is kept.
     pub left_member_retention: Duration,
-    /// Answers of peers count in a majority for this long after they were asked for.
+    /// An answer of a peer counts in a majority for this long after its poll was sent.
     pub quorum_window: Duration,
-    /// A started replica counts in no majority for this long, and until it has read its peers after that.
+    /// After its start, a replica counts in no majority for this long, and until it has read its peers after that.
     pub start_up_hold: Duration,
-    /// Members that are known at most.
+    /// The maximum number of members.
     pub max_members: usize,
-    /// Records that are known at most, members aside.
+    /// The maximum number of records, without member records.
     pub max_records: usize,
-    /// All on, except in proofs.
+    /// All are enabled, except in proof runs.
     pub defences: ReplicaDefences,
 }
 
 impl ReplicaConfig {
-    /// The defaults; `incarnation` is the Unix time of the start in milliseconds, and names the log with the name.
+    /// The defaults. The log is named after the replica and `incarnation`, the Unix time of the start in milliseconds.
     pub fn new(name: ReplicaName, peers: Vec<ReplicaName>, incarnation: Incarnation) -> Self {
         Self {
             log: LogId(format!("{name}-{incarnation}")),
@@ -106,95 +107,99 @@
     }
 }
 
-/// Defences that proofs switch off, one at a time, to see the oracle fail. Leave them on.
+/// Safety mechanisms that proof runs disable one at a time, to show that the oracle detects their absence. They must
+/// stay enabled otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaDefences {
-    /// A claim waits for acknowledgements. Off: a record is in force once a majority has read it.
+    /// A record is in force only once it is acknowledged. Disabled: once a majority has read it.
     pub watermark: bool,
-    /// A peer that reports is waited for only as of its report. Off: members that attached since are passed over.
+    /// A report of a peer counts only for members that had attached before it was made. Disabled: members that attached
+    /// since are ignored.
     pub attached_since: bool,
-    /// An attach is complete after a majority knows it. Off: once the replica itself does.
+    /// An attachment completes only once a majority has the member record. Disabled: once the replica itself has it.
     pub attach_quorum: bool,
-    /// A claim needs a majority heard lately. Off: the members that are known are enough.
+    /// A record is in force only if a majority has answered within the quorum window. Disabled: the known members
+    /// suffice.
     pub claim_quorum: bool,
-    /// A started replica is held. Off: it counts at once.
+    /// A replica observes the start-up hold after its start. Disabled: it counts immediately.
     pub start_up_hold: bool,
-    /// Only whole answers are acknowledged. Off: each is.
+    /// Only complete answers, those without `more`, count as acknowledged. Disabled: every answer does.
     pub complete_answers: bool,
 }
 
 /// A poll to send to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerPoll {
-    /// The peer.
+    /// The peer to poll.
     pub to: ReplicaName,
-    /// The poll.
+    /// The content of the poll.
     pub request: PollRequest,
-    /// Without an answer until then, tell [`Replica::on_peer_failure`].
+    /// Without an answer by then, the caller reports [`Replica::on_peer_failure`].
     pub deadline: Duration,
 }
 
-/// A member as an operator sees it.
+/// A member, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// The dispatcher.
+    /// The name of the dispatcher.
     pub name: MemberName,
-    /// Which process.
+    /// The process of the dispatcher.
     pub incarnation: Incarnation,
-    /// Which of its choices of a replica.
+    /// The attachment of that process.
     pub attachment: Attachment,
-    /// Where it polls; none: it left.
+    /// The replica that the dispatcher polls, or `None` if it has left.
     pub replica: Option<ReplicaName>,
-    /// Attached here: what it has acknowledged of this replica's log.
+    /// What the dispatcher has acknowledged of this replica's log, if it is attached to this replica.
     pub acknowledged: Option<Sequence>,
-    /// Attached here: whether its attach is complete.
+    /// Whether the dispatcher is attached to this replica and its attachment is complete.
     pub attached: bool,
 }
 
-/// What a replica has done, from its start.
+/// Counters of a replica since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaCounters {
-    /// Publications that were taken.
+    /// Accepted publications.
     pub published: u64,
-    /// Publications that were refused.
+    /// Rejected publications.
     pub refused: u64,
-    /// Polls that were taken.
+    /// Received polls.
     pub polls: u64,
-    /// Answers that were given.
+    /// Answers returned to pollers.
     pub answers: u64,
     /// Records in those answers.
     pub records_told: u64,
-    /// Answers of peers that were taken.
+    /// Accepted answers of peers.
     pub peer_answers: u64,
-    /// Polls of peers that failed.
+    /// Failed polls of peers.
     pub peer_failures: u64,
-    /// Records that changed something.
+    /// Merged records that changed the log.
     pub joined: u64,
-    /// Records that changed nothing.
+    /// Merged records that changed nothing.
     pub known_already: u64,
-    /// Records of peers with another body under a known version.
+    /// Records of peers with a known version and a different body.
     pub conflicts: u64,
-    /// Purges that were dropped as older than any copy.
+    /// Purges that were dropped as older than any cached copy.
     pub dropped: u64,
-    /// Attaches that became complete.
+    /// Attachments that became complete.
     pub attached: u64,
-    /// Members whose lease expired here.
+    /// Members whose lease expired at this replica.
     pub expired: u64,
-    /// Polls by attachments that were over.
+    /// Polls under superseded attachments.
     pub superseded: u64,
-    /// Polls that acknowledged what was not told.
+    /// Polls that acknowledged records beyond the end of the log.
     pub ahead: u64,
-    /// Entries of members that were looked at, for the bound on the work of a poll.
+    /// Visited member entries. Tests check with them that the work of a poll is bounded.
     pub member_steps: u64,
 }
 
-/// The longest that a poll may ask to wait.
+/// The maximum timeout of a poll.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(60);
-/// Dispatchers that a report names.
+/// The maximum number of dispatchers named in a report.
 const MAX_REPORTED_LAGGING: usize = 8;
-/// A dispatcher that holds a report back for longer is named in it.
+/// A dispatcher that holds back `applied` for longer than this is named in the report.
 const LAGGING_AFTER: Duration = Duration::from_millis(500);
-/// Two polls of one peer are at least this part of a batch interval apart, also if it answers at once.
+/// Two polls of the same peer are at least a batch interval divided by this apart, even if the peer answers
+/// immediately.
 const PEER_POLLS_PER_BATCH_INTERVAL: u32 = 10;
 
 /// A replica.
@@ -202,14 +207,14 @@
 /// ```
 /// use myrtlegauge_replication::*;
 /// use std::time::Duration;
-/// // Alone, it is a majority; after its start-up hold it counts.
+/// // A single replica is a majority on its own, and counts after its start-up hold.
 /// let config = ReplicaConfig::new("north".into(), Vec::new(), Incarnation(1_700_000_000_000));
 /// let mut replica = Replica::new(config, Duration::ZERO)?;
 /// let now = Duration::from_secs(5);
 /// replica.tick(now);
 /// let purge = Purge { target: PurgeTarget::Group(17), unix_ms: 1_700_000_005_000 };
 /// replica.publish(Record::Purge(purge), now)?;
-/// // No dispatcher is there that would lack it.
+/// // No dispatcher is attached, so the purge is in force immediately.
 /// assert!(matches!(replica.in_force(&RecordName::Group(17), now), Verdict::InForce { .. }));
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
@@ -227,7 +232,7 @@
 }
 
 impl Replica {
-    /// A replica that knows nothing yet.
+    /// Creates a replica with an empty log.
     pub fn new(config: ReplicaConfig, now: Duration) -> Result<Self, ConfigurationError> {
         check_config(&config)?;
         let peers = config.peers.iter().map(|name| (name.clone(), Peer::default())).collect();
@@ -247,21 +252,21 @@
         Ok(replica)
     }
 
-    /// Takes a record, and gives its place in this replica's log. The place of a record that changes nothing, as a purge
-    /// that is older than the one known, is that of the known one.
+    /// Publishes a record and returns its sequence number in this replica's log. For a record that changes nothing,
+    /// such as a purge older than the known one, it is the sequence number of the known record.
     pub fn publish(&mut self, record: Record, now: Duration) -> Result<Sequence, PublishError> {
-        if let Err(refused) = self.check_publication(&record, now) {
+        if let Err(error) = self.check_publication(&record, now) {
             self.counters.refused += 1;
-            return Err(refused);
+            return Err(error);
         }
         self.counters.published += 1;
-        let seq = self.join(record, now);
+        let seq = self.merge(record, now);
         self.update_claimed_watermark(now);
         Ok(seq)
     }
 
-    /// Takes a poll; its answer comes out of [`Replica::next_answer`]. After an error with
-    /// [`PollError::is_answered`] an answer comes too; after another there is none.
+    /// Accepts a poll. [`Replica::next_answer`] returns its answer. A poll with an error is answered only if
+    /// [`PollError::is_answered`] is true.
     pub fn poll(&mut self, id: PollId, request: PollRequest, now: Duration) -> Result<(), PollError> {
         self.counters.polls += 1;
         match request.poller.clone() {
@@ -279,12 +284,12 @@
         }
     }
 
-    /// The poller hung up.
+    /// Cancels a poll whose poller has disconnected.
     pub fn cancel(&mut self, id: PollId) {
         self.waiting_polls.remove(id);
     }
 
-    /// An answer that is due. A poll that was replaced by a newer one of the same poller gets none.
+    /// The next answer that is due. A poll that was replaced by a newer one of the same poller gets no answer.
     pub fn next_answer(&mut self, now: Duration) -> Option<(PollId, PollAnswer)> {
         let (id, poll) = self.waiting_polls.pop_due(now)?;
         let answer = match &poll.owner {
@@ -299,22 +304,21 @@
         Some((id, answer))
     }
 
-    /// A poll that is to be sent to a peer now. One poll of a peer is open at a time; one that was to be given up by now
-    /// counts as failed.
+    /// The next poll to send to a peer now. One poll per peer is open at a time. An open poll past its deadline counts
+    /// as failed.
     pub fn next_poll(&mut self, now: Duration) -> Option<PeerPoll> {
-        let is_superseded =
-            |peer: &Peer| peer.open_poll.as_ref().is_some_and(|open_poll| now >= open_poll.deadline);
-        let over = self.peers.iter().find(|(_, peer)| is_superseded(peer)).map(|(name, _)| name.clone());
-        if let Some(name) = over {
+        let is_overdue = |peer: &Peer| peer.open_poll.as_ref().is_some_and(|poll| now >= poll.deadline);
+        let overdue = self.peers.iter().find(|(_, peer)| is_overdue(peer)).map(|(name, _)| name.clone());
+        if let Some(name) = overdue {
             self.on_peer_failure(&name, now);
         }
         let timeout = self.peer_poll_timeout();
-        let gap = self.config.batch_interval / PEER_POLLS_PER_BATCH_INTERVAL;
+        let min_poll_interval = self.config.batch_interval / PEER_POLLS_PER_BATCH_INTERVAL;
         let (name, peer) =
             self.peers.iter_mut().find(|(_, peer)| peer.open_poll.is_none() && peer.next_poll_at <= now)?;
         let deadline = now + timeout + self.config.peer_timeout_margin;
         peer.open_poll = Some(OpenPoll { sent_at: now, since: peer.since, deadline });
-        peer.next_poll_at = now + gap;
+        peer.next_poll_at = now + min_poll_interval;
         let own_log = self.config.log.clone();
         let request = PollRequest {
             log: peer.log.clone(),
@@ -326,10 +330,10 @@
         Some(PeerPoll { to: name.clone(), request, deadline })
     }
 
-    /// Takes the answer to the open poll of a peer.
+    /// Handles the answer to the open poll of a peer.
     ///
-    /// A whole answer says in one message what the peer knew, what it had read of this log, and what its dispatchers had
-    /// applied of it: all as of the moment it was made, which is after the poll was sent.
+    /// A complete answer contains what the peer knew, what it had read of this log, and what its dispatchers had
+    /// applied of it, all as of the moment when the answer was made, which is after the poll was sent.
     pub fn on_peer_answer(
         &mut self,
         name: &ReplicaName,
@@ -338,10 +342,11 @@
     ) -> Result<(), AnswerError> {
         let peer = self.peers.get_mut(name).ok_or_else(|| AnswerError::UnknownReplica(name.clone()))?;
         let open_poll = peer.open_poll.take().ok_or_else(|| AnswerError::Unsolicited(name.clone()))?;
-        let other_log = peer.log.as_ref() != Some(&answer.log);
-        let from = if other_log || answer.seq < open_poll.since { Sequence(0) } else { open_poll.since };
-        check_order(name, &answer, from)?;
-        if other_log {
+        let is_other_log = peer.log.as_ref() != Some(&answer.log);
+        let expected_after =
+            if is_other_log || answer.seq < open_poll.since { Sequence(0) } else { open_poll.since };
+        check_order(name, &answer, expected_after)?;
+        if is_other_log {
             peer.reset_to_log(&answer.log);
             self.remote_members.forget_seqs(name);
         }
@@ -356,7 +361,7 @@
         Ok(())
     }
 
-    /// The open poll of a peer has failed, or was given up.
+    /// Handles the failure or the timeout of the open poll of a peer.
     pub fn on_peer_failure(&mut self, name: &ReplicaName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.open_poll = None;
@@ -365,51 +370,51 @@
         }
     }
 
-    /// Lets leases expire, drops what is too old, ends the start-up hold.
+    /// Expires leases, drops records that are too old, and ends the start-up hold.
     pub fn tick(&mut self, now: Duration) {
         self.expire_leases(now);
         let unix_ms = self.unix_ms(now);
         let oldest = unix_ms.saturating_sub(millis(self.config.purge_retention));
         self.counters.dropped += self.log.drop_purges_before(oldest);
-        let left = unix_ms.saturating_sub(millis(self.config.left_member_retention));
-        self.log.drop_members_left_before(left);
+        let oldest_leave = unix_ms.saturating_sub(millis(self.config.left_member_retention));
+        self.log.drop_members_left_before(oldest_leave);
         self.update_standing(now);
         self.update_claimed_watermark(now);
     }
 
-    /// When [`Replica::tick`], [`Replica::next_poll`] or [`Replica::next_answer`] has something to do next, if nothing
-    /// comes in. Purges are dropped at the next call of `tick` for another reason.
+    /// The next time at which [`Replica::tick`], [`Replica::next_poll`] or [`Replica::next_answer`] has work, if no
+    /// input arrives before. Expired purges cause no wakeup: they are dropped when `tick` is called for another reason.
     pub fn next_wakeup(&self) -> Option<Duration> {
         let next_poll_at =
             |peer: &Peer| peer.open_poll.as_ref().map_or(peer.next_poll_at, |open_poll| open_poll.deadline);
-        let ask = self.peers.values().map(next_poll_at).min();
+        let peer_poll = self.peers.values().map(next_poll_at).min();
         let expiry =
-            self.sessions.longest_silent().map(|(last_poll_at, _)| last_poll_at + self.config.member_lease);
-        let hold = self.started_at + self.config.start_up_hold;
-        let hold = (self.standing == ReplicaStanding::Starting).then_some(hold);
-        [ask, expiry, hold, self.waiting_polls.next_answer_at()].into_iter().flatten().min()
+            self.sessions.longest_idle().map(|(last_poll_at, _)| last_poll_at + self.config.member_lease);
+        let hold_end = self.started_at + self.config.start_up_hold;
+        let hold_end = (self.standing == ReplicaStanding::Starting).then_some(hold_end);
+        [peer_poll, expiry, hold_end, self.waiting_polls.next_answer_at()].into_iter().flatten().min()
     }
 
-    /// Whether the record of this name is in force at every dispatcher that is not in doubt.
+    /// Whether the record with this name is in force at every dispatcher that is not in doubt.
     pub fn in_force(&mut self, name: &RecordName, now: Duration) -> Verdict {
         self.update_claimed_watermark(now);
         let Some(entry) = self.log.get(name) else {
             return Verdict::Unknown;
         };
         let (seq, added_at) = (entry.seq, entry.added_at);
-        match self.claimed_watermark.at(seq) {
+        match self.claimed_watermark.claimed_at(seq) {
             Some(at) => Verdict::InForce { at },
             None => Verdict::Outstanding(self.outstanding(seq, added_at, now)),
         }
     }
 
-    /// All of this replica's log up to here is in force.
+    /// The sequence number up to which this replica's log is in force.
     pub fn fleet_watermark(&mut self, now: Duration) -> Sequence {
         self.update_claimed_watermark(now);
         self.claimed_watermark.seq()
     }
 
-    /// All members that are known, in order of their names.
+    /// All known members, in order of their names.
     pub fn members(&self) -> Vec<MemberView> {
         let view = |member: &Member| {
             let session = self.sessions.get(&member.name);
@@ -425,50 +430,53 @@
         self.log.members().map(view).collect()
     }
 
-    /// How far it is after its start.
+    /// The progress of the replica after its start.
     pub fn standing(&self) -> ReplicaStanding {
         self.standing
     }
 
-    /// The log, for those who keep or show it.
+    /// The log.
     pub fn log(&self) -> &CompactedLog {
         &self.log
     }
 
-    /// What it has done.
+    /// The counters since the start.
     pub fn counters(&self) -> ReplicaCounters {
         self.counters
     }
 }
 
 fn check_config(config: &ReplicaConfig) -> Result<(), ConfigurationError> {
-    check_name("replica's name", &config.name.0)?;
-    let mut seen = BTreeSet::new();
+    check_name("replica name", &config.name.0)?;
+    let mut peer_names = BTreeSet::new();
     for peer in &config.peers {
-        check_name("peer's name", &peer.0)?;
+        check_name("peer name", &peer.0)?;
         if *peer == config.name {
             return Err(ConfigurationError::OwnPeer(peer.clone()));
         }
-        if !seen.insert(peer) {
+        if !peer_names.insert(peer) {
             return Err(ConfigurationError::PeerTwice(peer.clone()));
         }
     }
-    for (kind, bound) in [
-        ("the batch of records", config.max_batch_records),
-        ("the bound on members", config.max_members),
-        ("the bound on records", config.max_records),
+    for (setting, limit) in [
+        ("the maximum number of records in a batch", config.max_batch_records),
+        ("the maximum number of members", config.max_members),
+        ("the maximum number of records", config.max_records),
     ] {
-        if bound == 0 {
-            return Err(ConfigurationError::Zero(kind));
+        if limit == 0 {
+            return Err(ConfigurationError::Zero(setting));
         }
     }
-    check_longer(("the member lease", config.member_lease), ("the doubt span", config.doubt_after))?;
-    check_longer(("the start-up hold", config.start_up_hold), ("the doubt span", config.doubt_after))?;
+    check_longer(("the member lease", config.member_lease), ("the doubt timeout", config.doubt_after))?;
+    check_longer(("the start-up hold", config.start_up_hold), ("the doubt timeout", config.doubt_after))?;
     check_longer(("the start-up hold", config.start_up_hold), ("the quorum window", config.quorum_window))?;
-    check_longer(("the quorum window", config.quorum_window), ("a peer's timeout", config.peer_timeout))
+    check_longer(
+        ("the quorum window", config.quorum_window),
+        ("the timeout of peer polls", config.peer_timeout),
+    )
 }
 
-/// Events have to stand in order, above what was asked for and up to `seq`.
+/// Checks that the events are in ascending order, above `since` and up to `seq`.
 fn check_order(replica: &ReplicaName, answer: &PollAnswer, since: Sequence) -> Result<(), AnswerError> {
     answer.check_order(since).map_err(|event| AnswerError::OutOfOrder { replica: replica.clone(), event })
 }
--- a/crates/replication/src/replica/claims.rs
+++ b/crates/replication/src/replica/claims.rs
@@ -1,4 +1,4 @@
-//! What peers are told and tell, majorities, the start-up hold, attaches, and claims.
+//! Reports to and from peers, majorities, the start-up hold, completion of attachments, and the claimed watermark.
 
 use super::{LAGGING_AFTER, MAX_REPORTED_LAGGING, Replica};
 use crate::checks::millis;
@@ -11,11 +11,12 @@
 use std::time::Duration;
 
 impl Replica {
-    /// How many replicas beside this one make a majority.
+    /// The number of peers that form a majority together with this replica.
     pub(super) fn quorum_peer_count(&self) -> usize {
         self.peers.len().div_ceil(2)
     }
 
+    /// The timeout of peer polls. It is short until this replica is established, so that peers answer soon.
     pub(super) fn peer_poll_timeout(&self) -> Duration {
         match self.standing {
             ReplicaStanding::Established => self.config.peer_timeout,
@@ -23,6 +24,7 @@
         }
     }
 
+    /// Updates the state of a peer after the records of its answer are merged.
     pub(super) fn apply_peer_answer(
         &mut self,
         name: &ReplicaName,
@@ -41,19 +43,19 @@
             return;
         }
         peer.acknowledged = answer.seq;
-        peer.seq_translation.read(answer.seq, last_data_seq, now);
+        peer.seq_translation.record(answer.seq, last_data_seq, now);
         peer.store_report(answer, sent_at, &self.config.log);
         peer.read_established |= hold_is_over && answer.standing.is_established();
         peer.read_after_hold |= hold_is_over && answer.standing != ReplicaStanding::Starting;
         self.notify_peer_if_report_changed(name, now);
     }
 
-    /// What a peer is told of its log; none before any of it is read.
+    /// The report to a peer about its log, or `None` before any of that log is read.
     pub(super) fn report_for(&mut self, name: &ReplicaName, now: Duration) -> Option<ReplicaReport> {
-        let acknowledged = self.sessions.min_acknowledged().unwrap_or(self.log.last());
+        let acknowledged = self.sessions.min_acknowledged().unwrap_or(self.log.last_seq());
         let peer = self.peers.get_mut(name)?;
         let log = peer.log.clone()?;
-        let applied = peer.seq_translation.applied(acknowledged);
+        let applied = peer.seq_translation.applied_seq(acknowledged);
         let overdue = peer.seq_translation.overdue(acknowledged, now.saturating_sub(LAGGING_AFTER));
         let lagging =
             overdue.into_iter().flat_map(|seq| self.sessions.lagging_behind(seq)).take(MAX_REPORTED_LAGGING);
@@ -62,11 +64,11 @@
         Some(ReplicaReport { log, read: peer.acknowledged, applied, lagging })
     }
 
+    /// Schedules the answer to the waiting poll of a peer if the report to it has changed.
     pub(super) fn notify_peer_if_report_changed(&mut self, name: &ReplicaName, now: Duration) {
         let report = self.report_for(name, now);
         let last_sent_report = self.peers.get(name).and_then(|peer| peer.last_sent_report.as_ref());
-        let last_sent_report = last_sent_report
-            .map(|last_sent_report| (&last_sent_report.log, last_sent_report.read, last_sent_report.applied));
+        let last_sent_report = last_sent_report.map(|report| (&report.log, report.read, report.applied));
         if last_sent_report != report.as_ref().map(|report| (&report.log, report.read, report.applied)) {
             self.waiting_polls.schedule_answer_to(&PollOwner::Peer(name.clone()));
         }
@@ -77,25 +79,31 @@
         names.iter().for_each(|name| self.notify_peer_if_report_changed(name, now));
     }
 
-    /// Ends the start-up hold, as far as it may.
+    /// Advances the standing once the start-up hold is over and enough peers are read.
     pub(super) fn update_standing(&mut self, now: Duration) {
         if self.standing == ReplicaStanding::Established {
             return;
         }
-        let held = self.config.defences.start_up_hold;
-        if held && now < self.started_at + self.config.start_up_hold {
+        let is_hold_enabled = self.config.defences.start_up_hold;
+        if is_hold_enabled && now < self.started_at + self.config.start_up_hold {
             return;
         }
-        // What a majority knew is known to one of so many, though this replica was of it and has lost its memory.
-        let enough = self.peers.len() - self.quorum_peer_count() + 1;
+        // Among this many established peers, at least one was in any majority that had a record, even if this replica
+        // was part of that majority and has lost its log.
+        let required = self.peers.len() - self.quorum_peer_count() + 1;
         let established = self.peers.values().filter(|peer| peer.read_established).count();
-        let all_settled = self.peers.values().all(|peer| peer.read_after_hold);
-        let knows = established >= enough || all_settled;
-        self.standing = if knows || !held { ReplicaStanding::Established } else { ReplicaStanding::Waiting };
+        let all_past_hold = self.peers.values().all(|peer| peer.read_after_hold);
+        let knows_majority = established >= required || all_past_hold;
+        self.standing = if knows_majority || !is_hold_enabled {
+            ReplicaStanding::Established
+        } else {
+            ReplicaStanding::Waiting
+        };
         self.confirm_attaches(now);
     }
 
-    /// Members that a majority knows have only to acknowledge what is known here now.
+    /// Sets what members have to acknowledge for their attachment, once a majority has their records: all that is known
+    /// here now.
     pub(super) fn confirm_attaches(&mut self, now: Duration) {
         if !self.standing.is_established() {
             return;
@@ -103,7 +111,7 @@
         let oldest = now.saturating_sub(self.config.quorum_window);
         let read = match self.config.defences.attach_quorum {
             true => seq_read_by(&self.peers, self.quorum_peer_count(), oldest),
-            false => Some(self.log.last()),
+            false => Some(self.log.last_seq()),
         };
         let Some(read) = read else {
             return;
@@ -115,6 +123,7 @@
         }
     }
 
+    /// Completes the attachment of a member if its conditions are met.
     pub(super) fn complete_attach(&mut self, name: &MemberName) {
         if self.sessions.try_complete_attach(name) {
             self.counters.attached += 1;
@@ -122,32 +131,33 @@
         }
     }
 
-    /// Raises the claimed watermark, if it may.
+    /// Raises the claimed watermark as far as possible. Only an established replica does.
     pub(super) fn update_claimed_watermark(&mut self, now: Duration) {
         if !self.standing.is_established() {
             return;
         }
-        let claimable_seq = self.claimable_seq(now).min(self.log.last());
+        let claimable_seq = self.claimable_seq(now).min(self.log.last_seq());
         self.claimed_watermark.raise(claimable_seq, now);
     }
 
+    /// The sequence number up to which this log is in force, by what is known now.
     pub(super) fn claimable_seq(&self, now: Duration) -> Sequence {
         let oldest = now.saturating_sub(self.config.quorum_window);
         let majority = match self.config.defences.claim_quorum {
             true => seq_read_by(&self.peers, self.quorum_peer_count(), oldest).unwrap_or_default(),
-            false => self.log.last(),
+            false => self.log.last_seq(),
         };
         if !self.config.defences.watermark {
             return majority;
         }
-        let acknowledged_here = self.sessions.min_acknowledged().unwrap_or(self.log.last());
+        let acknowledged_here = self.sessions.min_acknowledged().unwrap_or(self.log.last_seq());
         let applied_remotely =
-            self.remote_members.highest_seqs().map(|(replica, place)| self.applied_at(replica, place));
+            self.remote_members.highest_seqs().map(|(replica, seq)| self.applied_at(replica, seq));
         applied_remotely.chain([acknowledged_here, majority]).min().unwrap_or_default()
     }
 
-    /// What of this log is applied at the dispatchers attached at another replica, of which the last stands at `highest`
-    /// in its log.
+    /// The sequence number up to which this log is applied at the dispatchers attached to another replica. `highest` is
+    /// the highest sequence number of their member records in that replica's log.
     pub(super) fn applied_at(&self, replica: &ReplicaName, highest: Sequence) -> Sequence {
         let report = self.peers.get(replica).and_then(|peer| peer.report.as_ref());
         let includes_members =
@@ -155,6 +165,7 @@
         report.filter(includes_members).map_or(Sequence(0), |report| report.applied)
     }
 
+    /// What the record at `seq` waits for. It was received at `since`.
     pub(super) fn outstanding(&mut self, seq: Sequence, since: Duration, now: Duration) -> Outstanding {
         let mut dispatchers: Vec<MemberName> = self.sessions.lagging_behind(seq).cloned().collect();
         let mut replicas = Vec::new();
@@ -174,57 +185,59 @@
             replicas.push(LaggingReplica { name: name.clone(), reason });
         }
         for name in highest.into_keys().filter(|name| !self.peers.contains_key(*name)) {
-            dispatchers.extend(self.remote_members.at(name).cloned());
+            dispatchers.extend(self.remote_members.members_at(name).cloned());
             replicas.push(LaggingReplica { name: name.clone(), reason: Reason::NotAPeer });
         }
         self.counters.member_steps += dispatchers.len() as u64;
         Outstanding { dispatchers, replicas, since }
     }
 
-    /// The dispatchers for which a peer is waited for, as far as they are known here.
+    /// Adds the dispatchers because of which a record waits for a peer, as far as they are known here.
     pub(super) fn collect_lagging_dispatchers(
         &self,
         name: &ReplicaName,
         peer: &Peer,
         reason: Reason,
-        named: &mut Vec<MemberName>,
+        dispatchers: &mut Vec<MemberName>,
     ) {
         match (reason, &peer.report) {
             (Reason::NoRecentAnswer | Reason::StartUp, _) => {
-                named.extend(self.remote_members.at(name).cloned())
+                dispatchers.extend(self.remote_members.members_at(name).cloned())
             }
             (Reason::AttachedSinceReport, Some(report)) => {
-                named.extend(self.remote_members.members_above(name, report.as_of).cloned());
+                dispatchers.extend(self.remote_members.members_above(name, report.as_of).cloned());
             }
-            (_, Some(report)) => named.extend(report.lagging.iter().cloned()),
+            (_, Some(report)) => dispatchers.extend(report.lagging.iter().cloned()),
             (_, None) => {}
         }
     }
 
+    /// The Unix time in milliseconds, by the time since the start of the process.
     pub(super) fn unix_ms(&self, now: Duration) -> u64 {
         self.config.incarnation.0 + millis(now.saturating_sub(self.started_at))
     }
 }
 
-/// Why a record at a place waits for a peer, if it does. `highest` is the place of the last member attached there.
+/// Why the record at `seq` waits for a peer, or `None` if it does not. `highest` is the highest sequence number of the
+/// members attached to the peer. `oldest_report` is the start of the quorum window.
 fn wait_reason(
     peer: &Peer,
     seq: Sequence,
     highest: Option<Sequence>,
-    oldest: Duration,
+    oldest_report: Duration,
     lacks_majority: bool,
 ) -> Option<Reason> {
     let report = peer.report.as_ref();
     let is_covered_by =
         |report: &ReceivedReport| highest.is_none_or(|at| at <= report.as_of && report.applied >= seq);
-    let in_majority =
-        report.is_some_and(|report| report.sent_at >= oldest && report.standing.is_established());
-    let covered = highest.is_none() || report.is_some_and(is_covered_by);
-    let counted = !lacks_majority || in_majority && report.is_some_and(|report| report.read >= seq);
-    if covered && counted {
+    let counts_in_quorum =
+        report.is_some_and(|report| report.sent_at >= oldest_report && report.standing.is_established());
+    let is_covered = highest.is_none() || report.is_some_and(is_covered_by);
+    let is_counted = !lacks_majority || counts_in_quorum && report.is_some_and(|report| report.read >= seq);
+    if is_covered && is_counted {
         return None;
     }
-    let Some(report) = report.filter(|report| report.sent_at >= oldest) else {
+    let Some(report) = report.filter(|report| report.sent_at >= oldest_report) else {
         return Some(Reason::NoRecentAnswer);
     };
     Some(match highest {
--- a/crates/replication/src/replica/joining.rs
+++ b/crates/replication/src/replica/joining.rs
@@ -1,4 +1,4 @@
-//! Records that are published or read, members among them, and leases.
+//! Checks and merging of published records and of records read from peers, member records included, and leases.
 
 use super::Replica;
 use crate::checks::millis;
@@ -10,6 +10,7 @@
 use std::time::Duration;
 
 impl Replica {
+    /// Checks whether a published record is valid and not older than the known one.
     pub(super) fn check_publication(&self, record: &Record, now: Duration) -> Result<(), PublishError> {
         let name = record.name();
         check_record_name(&name)?;
@@ -46,13 +47,13 @@
         Ok(())
     }
 
-    /// Takes a record in; what it changes is told to those who wait.
-    pub(super) fn join(&mut self, record: Record, now: Duration) -> Sequence {
+    /// Merges a record into the log, and schedules answers to the waiting polls if it changes something.
+    pub(super) fn merge(&mut self, record: Record, now: Duration) -> Sequence {
         let member = match &record {
             Record::Member(member) => Some(member.clone()),
             _ => None,
         };
-        let seq = match self.log.join(record, now) {
+        let seq = match self.log.merge(record, now) {
             MergeResult::Known(seq) => {
                 self.counters.known_already += 1;
                 return seq;
@@ -67,6 +68,7 @@
         seq
     }
 
+    /// Updates the sessions and the remote members after a member record has changed.
     pub(super) fn on_member_changed(&mut self, member: &Member, seq: Sequence, now: Duration) {
         let name = &member.name;
         self.sessions.close(name);
@@ -75,13 +77,13 @@
             Some(replica) if *replica == self.config.name => {
                 self.sessions.open(name, Session::new(seq, now));
             }
-            Some(replica) => self.remote_members.attached(name, replica),
+            Some(replica) => self.remote_members.add(name, replica),
             None => {}
         }
         self.notify_peers_of_report_changes(now);
     }
 
-    /// Takes a record of a peer's log.
+    /// Merges a record of a peer's log, unless it has expired.
     pub(super) fn merge_peer_event(&mut self, peer: &ReplicaName, event: &Event, now: Duration) {
         if self.is_expired(&event.record, now) {
             return;
@@ -89,7 +91,7 @@
         let known = self.log.get(&event.record.name());
         let conflicts = known.is_some_and(|known| event.record.conflicts_with(&known.record));
         self.counters.conflicts += u64::from(conflicts);
-        self.join(event.record.clone(), now);
+        self.merge(event.record.clone(), now);
         if let Record::Member(member) = &event.record
             && member.replica() == Some(peer)
             && self.log.member(&member.name) == Some(member)
@@ -98,20 +100,22 @@
         }
     }
 
+    /// Whether a record is older than the retention of its kind.
     pub(super) fn is_expired(&self, record: &Record, now: Duration) -> bool {
-        let span = match record {
+        let time_and_retention = match record {
             Record::Purge(purge) => Some((purge.unix_ms, self.config.purge_retention)),
             Record::Member(Member { state: MemberState::Left(at), .. }) => {
                 Some((*at, self.config.left_member_retention))
             }
             _ => None,
         };
-        span.is_some_and(|(at, span)| at < self.unix_ms(now).saturating_sub(millis(span)))
+        time_and_retention
+            .is_some_and(|(at, retention)| at < self.unix_ms(now).saturating_sub(millis(retention)))
     }
 
-    /// Members whose leases are over have left.
+    /// Records members whose leases have expired as having left.
     pub(super) fn expire_leases(&mut self, now: Duration) {
-        while let Some((last_poll_at, name)) = self.sessions.longest_silent()
+        while let Some((last_poll_at, name)) = self.sessions.longest_idle()
             && now >= last_poll_at + self.config.member_lease
         {
             let name = name.clone();
@@ -121,7 +125,7 @@
             };
             self.counters.expired += 1;
             let state = MemberState::Left(self.unix_ms(now));
-            self.join(Record::Member(Member { state, ..member }), now);
+            self.merge(Record::Member(Member { state, ..member }), now);
         }
     }
 }
@@ -133,8 +137,8 @@
         RecordName::Object(text) | RecordName::Host(text) | RecordName::Configuration(text) => text,
     };
     let length = text.len();
-    let fits = (1..=MAX_NAME_BYTES).contains(&length);
-    if fits { Ok(()) } else { Err(PublishError::Name { length, max: MAX_NAME_BYTES }) }
+    let is_valid = (1..=MAX_NAME_BYTES).contains(&length);
+    if is_valid { Ok(()) } else { Err(PublishError::Name { length, max: MAX_NAME_BYTES }) }
 }
 
 fn name_text(name: &RecordName) -> String {
--- a/crates/replication/src/replica/polls.rs
+++ b/crates/replication/src/replica/polls.rs
@@ -43,44 +43,47 @@
         }
         if leaving {
             let state = MemberState::Left(self.unix_ms(now));
-            self.join(Record::Member(Member { state, ..member }), now);
+            self.merge(Record::Member(Member { state, ..member }), now);
             self.answer_immediately(id, PollOwner::Superseded(id), now);
             return Ok(());
         }
-        self.join(Record::Member(member), now);
+        self.merge(Record::Member(member), now);
         self.sessions.record_poll(&name, now);
         if self.names_this_log(request) {
-            self.acknowledged(&name, request, now);
+            self.on_acknowledgement(&name, request, now);
         }
         self.confirm_attaches(now);
         let answered_at = self.sessions.get(&name).and_then(|session| session.answered_at);
         self.enqueue_poll(id, PollOwner::Member(name), request, answered_at, now)
     }
 
-    /// Whether the attachment was followed by another, or has ended.
+    /// Whether a later attachment of the member is known, or this one has ended.
     pub(super) fn is_superseded(&self, member: &Member) -> bool {
         self.log.member(&member.name).is_some_and(|known| known.precedence() > member.precedence())
     }
 
-    pub(super) fn acknowledged(&mut self, name: &MemberName, request: &PollRequest, now: Duration) {
+    /// Records what a dispatcher acknowledges. An acknowledgement beyond the end of the log is ignored.
+    pub(super) fn on_acknowledgement(&mut self, name: &MemberName, request: &PollRequest, now: Duration) {
         let seq = if self.config.defences.complete_answers { request.acknowledged } else { request.since };
-        if seq > self.log.last() {
+        if seq > self.log.last_seq() {
             return;
         }
-        let before = self.sessions.min_acknowledged();
+        let previous_min = self.sessions.min_acknowledged();
         self.sessions.acknowledge(name, seq);
         self.complete_attach(name);
-        if self.sessions.min_acknowledged() != before {
+        if self.sessions.min_acknowledged() != previous_min {
             self.notify_peers_of_report_changes(now);
             self.update_claimed_watermark(now);
         }
     }
 
+    /// Whether the poll refers to the log of this process.
     pub(super) fn names_this_log(&self, request: &PollRequest) -> bool {
         request.log.as_ref() == Some(&self.config.log)
     }
 
-    /// A poll waits from its position on: at once if there is news, or if it doesn't know this log yet.
+    /// Adds a poll to the waiting ones. Its answer is scheduled immediately if there are records above its position, or
+    /// if the poller does not follow this log yet.
     pub(super) fn enqueue_poll(
         &mut self,
         id: PollId,
@@ -89,39 +92,41 @@
         answered_at: Option<Duration>,
         now: Duration,
     ) -> Result<(), PollError> {
-        let ahead = self.names_this_log(request) && request.since > self.log.last();
+        let is_ahead = self.names_this_log(request) && request.since > self.log.last_seq();
         let is_log_known = match owner {
             PollOwner::Reader(_) => request.log.is_none() || self.names_this_log(request),
             _ => self.names_this_log(request),
         };
         let since =
-            if is_log_known && request.since <= self.log.last() { request.since } else { Sequence(0) };
+            if is_log_known && request.since <= self.log.last_seq() { request.since } else { Sequence(0) };
         let last = match owner {
-            PollOwner::Peer(_) => self.log.last(),
+            PollOwner::Peer(_) => self.log.last_seq(),
             _ => self.log.last_data_seq(),
         };
         let earliest_answer_at = answered_at.map_or(now, |at| now.max(at + self.config.batch_interval));
         let answer_at = now + request.timeout.min(MAX_POLL_TIMEOUT);
         self.waiting_polls.add(id, WaitingPoll { owner, since, answer_at, earliest_answer_at });
-        if since < last || !is_log_known || ahead {
+        if since < last || !is_log_known || is_ahead {
             self.waiting_polls.schedule_answer(id);
         }
-        if !ahead {
+        if !is_ahead {
             return Ok(());
         }
         self.counters.ahead += 1;
         Err(PollError::AheadOfLog {
             log: self.config.log.clone(),
             since: request.since,
-            last: self.log.last(),
+            last: self.log.last_seq(),
         })
     }
 
+    /// Adds a poll that is answered immediately, without records.
     pub(super) fn answer_immediately(&mut self, id: PollId, owner: PollOwner, now: Duration) {
         self.waiting_polls
             .add(id, WaitingPoll { owner, since: Sequence(0), answer_at: now, earliest_answer_at: now });
     }
 
+    /// An answer without records.
     pub(super) fn bare_answer(&self, seq: Sequence) -> PollAnswer {
         PollAnswer {
             log: self.config.log.clone(),
@@ -135,14 +140,15 @@
         }
     }
 
+    /// An answer with the records above `since`.
     pub(super) fn answer(&self, since: Sequence, audience: Audience) -> PollAnswer {
-        let part = self.log.since(since, self.config.max_batch_records, audience);
-        PollAnswer { more: part.more, results: part.events, ..self.bare_answer(part.seq) }
+        let slice = self.log.events_after(since, self.config.max_batch_records, audience);
+        PollAnswer { more: slice.more, results: slice.events, ..self.bare_answer(slice.seq) }
     }
 
     pub(super) fn answer_member(&mut self, name: &MemberName, since: Sequence, now: Duration) -> PollAnswer {
         let answer = self.answer(since, Audience::Dispatchers);
-        // What is left of a long answer is asked for at once, and not held back.
+        // The rest of a long answer is requested immediately, and does not wait for the batch interval.
         self.sessions.set_answered_at(name, (!answer.more).then_some(now));
         let attached = self.sessions.get(name).is_some_and(|session| session.attached);
         PollAnswer { attached, ..answer }
--- a/crates/replication/src/subscriber.rs
+++ b/crates/replication/src/subscriber.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's side: which replica to poll, what to apply, and whether to be in doubt.
+//! The subscriber, which runs in a dispatcher. It decides which replica is polled, which records are applied, and
+//! whether the dispatcher is in doubt, that is whether purges may have been missed.
 
 use crate::checks::{check_longer, check_name, millis};
 use crate::compacted_log::{CompactedLog, MergeResult};
@@ -7,43 +8,45 @@
 use crate::record::{Attachment, Event, Incarnation, LogId, MemberName, Record, ReplicaName, Sequence};
 use std::time::Duration;
 
-/// Who a dispatcher is, and its bounds. [`SubscriberConfig::new`] has the defaults.
+/// The configuration of a subscriber. [`SubscriberConfig::new`] sets the defaults.
 #[derive(Clone, Debug)]
 pub struct SubscriberConfig {
-    /// Its name.
+    /// The name of the dispatcher.
     pub name: MemberName,
-    /// Unix milliseconds at the start.
+    /// The start of this process.
     pub incarnation: Incarnation,
-    /// The replica of its zone.
+    /// The replica of the dispatcher's zone.
     pub primary: ReplicaName,
-    /// The replica to fall back on.
+    /// The replica that is polled while the primary fails.
     pub fallback: Option<ReplicaName>,
-    /// How long a poll may wait at the replica.
+    /// How long the replica may hold a poll.
     pub poll_timeout: Duration,
-    /// A poll is given up this long after its timeout.
+    /// A poll counts as failed this long after its timeout.
     pub poll_timeout_margin: Duration,
-    /// Between a poll that failed and the next.
-    pub retry: Duration,
-    /// An attached dispatcher is in doubt this long after it sent the last poll whose answer said `attached`.
+    /// The delay between a failed poll and the next one.
+    pub retry_delay: Duration,
+    /// The doubt timeout: an attached dispatcher is in doubt this long after it sent the last poll that was answered
+    /// with `attached`.
     pub doubt_after: Duration,
-    /// Another replica is tried if an attach is not complete after this; doubled each time.
+    /// The other replica is tried if an attachment is not complete after this time, which is doubled each time.
     pub attach_timeout: Duration,
-    /// At the fallback: between two probes of the primary.
+    /// The time between two probes of the primary while the fallback is polled.
     pub probe_interval: Duration,
-    /// The primary has to answer probes for this long before the dispatcher goes back to it.
+    /// How long the primary has to answer probes before the dispatcher returns to it.
     pub return_after: Duration,
-    /// A random span up to this is added, so that a fleet doesn't move at once.
+    /// A random duration up to this is added to `return_after`, so that the dispatchers of a fleet do not return at the
+    /// same time.
     pub return_jitter: Duration,
-    /// Purges older than this are older than any copy: they are not kept.
+    /// Purges older than this are not kept, because no cached copy is that old.
     pub purge_retention: Duration,
-    /// The seed of that chance.
+    /// The seed of the random generator.
     pub seed: u64,
-    /// All on, except in proofs.
+    /// All are enabled, except in proof runs.
     pub defences: SubscriberDefences,
 }
 
 impl SubscriberConfig {
-    /// The defaults; `incarnation` is the Unix time of the start in milliseconds.
+    /// The defaults. `incarnation` is the Unix time of the start in milliseconds.
     pub fn new(
         name: MemberName,
         incarnation: Incarnation,
@@ -57,7 +60,7 @@
             fallback,
             poll_timeout: Duration::from_secs(1),
             poll_timeout_margin: Duration::from_millis(500),
-            retry: Duration::from_millis(200),
+            retry_delay: Duration::from_millis(200),
             doubt_after: Duration::from_secs(3),
             attach_timeout: Duration::from_secs(6),
             probe_interval: Duration::from_secs(1),
@@ -76,61 +79,63 @@
     }
 }
 
-/// Defences that proofs switch off, one at a time, to see the oracle fail. Leave them on.
+/// Safety mechanisms that proof runs disable one at a time, to show that the oracle detects their absence. They must
+/// stay enabled otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubscriberDefences {
-    /// A dispatcher falls back. Off: it stays at its primary.
+    /// The dispatcher switches to its fallback. Disabled: it stays at its primary.
     pub fallback: bool,
-    /// A dispatcher without an answer is in doubt. Off: once attached, it never is.
+    /// A dispatcher without answers is in doubt. Disabled: once attached, it never is.
     pub doubt: bool,
 }
 
-/// A poll to send.
+/// A poll to send to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubscriberPoll {
-    /// The replica.
+    /// The replica to poll.
     pub to: ReplicaName,
-    /// The poll.
+    /// The content of the poll.
     pub request: PollRequest,
-    /// Without an answer until then, tell [`Subscriber::on_failure`].
+    /// Without an answer by then, the caller reports [`Subscriber::on_failure`].
     pub deadline: Duration,
 }
 
-/// What an answer brought.
+/// The records of an accepted answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AcceptedAnswer {
-    /// Records that are new here, in order: apply all of them before the next [`Subscriber::next_poll`].
+    /// The new records, in order. All of them must be applied before the next [`Subscriber::next_poll`].
     pub records: Vec<Record>,
-    /// Records that were known already, were older than what is known, or are not for dispatchers.
+    /// The number of records that were already known, were older than the known ones, or are not for dispatchers.
     pub ignored: usize,
 }
 
-/// What a dispatcher's side has done, from its start.
+/// Counters of a subscriber since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberCounters {
-    /// Answers that were taken.
+    /// Accepted answers.
     pub answers: u64,
-    /// Polls that failed or were given up.
+    /// Polls that failed or timed out.
     pub failures: u64,
-    /// Records that were to be applied.
+    /// Records returned to be applied.
     pub applied: u64,
-    /// Records that were known already, were older than what is known, or are not for dispatchers.
+    /// The number of records that were already known, were older than the known ones, or are not for dispatchers.
     pub passed_over: u64,
-    /// Times that it chose a replica.
+    /// Started attachments.
     pub attachments: u64,
-    /// Times that it fell back.
+    /// Switches to the fallback.
     pub fallbacks: u64,
-    /// Times that it went back to its primary.
+    /// Returns to the primary.
     pub returns: u64,
-    /// Answers of another log than the one that was followed.
+    /// Answers with another log than the one read before.
     pub other_logs: u64,
 }
 
-/// A replica that failed, or was in its start-up hold, is not chosen for this long if the other one is there.
+/// How long a replica that failed, or was in its start-up hold, is avoided while the other one is available.
 const AVOID_DURATION: Duration = Duration::from_secs(2);
-/// Failures in a row after which a replica is left. One that took all its patience counts as so many.
+/// The number of consecutive failures after which the subscriber switches replicas. A poll that reached its deadline
+/// counts as this many failures.
 const MAX_FAILURES: u32 = 2;
-/// The patience with attaches doubles up to this many times the first.
+/// The attach timeout doubles up to this multiple of the configured one.
 const MAX_ATTACH_TIMEOUT_FACTOR: u32 = 64;
 
 /// One of the two replicas.
@@ -148,7 +153,7 @@
     deadline: Duration,
 }
 
-/// What is followed under one attachment.
+/// The position in a replica's log under one attachment.
 #[derive(Clone, Debug, Default)]
 struct LogPosition {
     log: Option<LogId>,
@@ -156,7 +161,7 @@
     acknowledged: Sequence,
 }
 
-/// The dispatcher's side of replication.
+/// The part of replication that runs in a dispatcher.
 ///
 /// ```
 /// use myrtlegauge_replication::*;
@@ -164,10 +169,10 @@
 /// let config = SubscriberConfig::new("d1".into(), Incarnation(1), "north".into(), Some("south".into()));
 /// let mut subscriber = Subscriber::new(config, Duration::ZERO)?;
 /// assert!(subscriber.in_doubt_since(Duration::ZERO).is_some());
-/// let start_poll = subscriber.next_poll(Duration::ZERO).expect("it polls at once");
-/// assert_eq!(start_poll.to, "north".into());
+/// let poll = subscriber.next_poll(Duration::ZERO).expect("it polls at once");
+/// assert_eq!(poll.to, "north".into());
 /// let answer = PollAnswer::from_json(r#"{"log":"north-1","seq":0,"attached":true,"results":[]}"#)?;
-/// let accepted = subscriber.on_answer(&start_poll.to, answer, Duration::from_millis(20))?;
+/// let accepted = subscriber.on_answer(&poll.to, answer, Duration::from_millis(20))?;
 /// assert!(accepted.records.is_empty());
 /// assert!(subscriber.in_doubt_since(Duration::from_millis(20)).is_none());
 /// # Ok::<(), Box<dyn std::error::Error>>(())
@@ -181,21 +186,22 @@
     position: LogPosition,
     open_poll: Option<OpenPoll>,
     next_poll_at: Duration,
-    /// When the attach in hand began; none once it is complete.
+    /// When the current attachment was started, or `None` once it is complete.
     attaching_since: Option<Duration>,
     attach_timeout: Duration,
     failures: u32,
-    /// Until when each is not chosen.
+    /// Until when the primary is avoided.
     primary_avoided_until: Duration,
+    /// Until when the fallback is avoided.
     fallback_avoided_until: Duration,
     probe: Probe,
-    /// When the last poll was sent whose answer said that the attach is complete.
+    /// When the last poll was sent whose answer said that the attachment is complete.
     attached_as_of: Option<Duration>,
     log: CompactedLog,
     counters: SubscriberCounters,
 }
 
-/// How the primary does while the fallback is followed.
+/// The probes of the primary while the fallback is polled.
 #[derive(Clone, Debug, Default)]
 struct Probe {
     open_poll: Option<OpenPoll>,
@@ -205,7 +211,7 @@
 }
 
 impl Subscriber {
-    /// A dispatcher that knows nothing yet, and is in doubt.
+    /// Creates a subscriber that has no records and is in doubt.
     pub fn new(config: SubscriberConfig, now: Duration) -> Result<Self, ConfigurationError> {
         check_config(&config)?;
         Ok(Self {
@@ -229,20 +235,20 @@
         })
     }
 
-    /// A poll that is to be sent now. One poll of a replica is open at a time; beside it one probe of the primary may be.
+    /// The next poll to send now. One poll of a replica is open at a time, and additionally one probe of the primary.
     ///
-    /// An open poll that was to be given up by now counts as failed.
+    /// An open poll past its deadline counts as failed.
     pub fn next_poll(&mut self, now: Duration) -> Option<SubscriberPoll> {
         self.fail_overdue_polls(now);
         if self.open_poll.is_none() && now >= self.next_poll_at {
             return Some(self.start_poll(now));
         }
-        let probes = self.choice == ReplicaChoice::Fallback && self.probe.open_poll.is_none();
-        (probes && now >= self.probe.next_poll_at).then(|| self.start_probe(now))
+        let can_probe = self.choice == ReplicaChoice::Fallback && self.probe.open_poll.is_none();
+        (can_probe && now >= self.probe.next_poll_at).then(|| self.start_probe(now))
     }
 
-    /// Takes the answer to the open poll of a replica. All that is to be applied is to be applied before the next
-    /// [`Subscriber::next_poll`], which acknowledges it, and before [`Subscriber::in_doubt_since`] is asked again.
+    /// Handles the answer to the open poll of a replica. The returned records must be applied before the next
+    /// [`Subscriber::next_poll`], which acknowledges them, and before the next [`Subscriber::in_doubt_since`].
     pub fn on_answer(
         &mut self,
         replica: &ReplicaName,
@@ -258,12 +264,13 @@
         let open_poll = self.open_poll.take().ok_or_else(|| AnswerError::Unsolicited(replica.clone()))?;
         if answer.superseded {
             self.start_attachment(now);
-            self.next_poll_at = now + self.config.retry;
+            self.next_poll_at = now + self.config.retry_delay;
             return Ok(AcceptedAnswer::default());
         }
-        let other_log = self.position.log.as_ref() != Some(&answer.log);
-        let from = if other_log || answer.seq < open_poll.since { Sequence(0) } else { open_poll.since };
-        if let Err(event) = answer.check_order(from) {
+        let is_other_log = self.position.log.as_ref() != Some(&answer.log);
+        let expected_after =
+            if is_other_log || answer.seq < open_poll.since { Sequence(0) } else { open_poll.since };
+        if let Err(event) = answer.check_order(expected_after) {
             self.on_poll_failed(open_poll.deadline, now);
             return Err(AnswerError::OutOfOrder { replica: replica.clone(), event });
         }
@@ -275,7 +282,7 @@
         Ok(accepted)
     }
 
-    /// The open poll of a replica has failed, or was given up.
+    /// Handles the failure or the timeout of the open poll of a replica.
     pub fn on_failure(&mut self, replica: &ReplicaName, now: Duration) {
         if replica == self.replica() {
             if let Some(open_poll) = self.open_poll.take() {
@@ -288,26 +295,27 @@
         }
     }
 
-    /// The last poll, which says that this dispatcher ends. It replaces an open one; no answer is waited for.
+    /// The last poll, which notifies the replica that this dispatcher leaves. It replaces an open poll, and its answer
+    /// need not be awaited.
     pub fn leave(&mut self, now: Duration) -> SubscriberPoll {
-        let mut start_poll = self.start_poll(now);
-        if let Poller::Dispatcher { leaving, .. } = &mut start_poll.request.poller {
+        let mut poll = self.start_poll(now);
+        if let Poller::Dispatcher { leaving, .. } = &mut poll.request.poller {
             *leaving = true;
         }
-        start_poll
+        poll
     }
 
-    /// In doubt: since when purges may have been missed. While it lasts, every copy may be purged; after it, all that any
-    /// verdict spoke of is applied.
+    /// Since when purges may have been missed, or `None` if the dispatcher is not in doubt. While in doubt, every
+    /// cached copy may have been purged. Otherwise, every record that a verdict reports in force is applied.
     pub fn in_doubt_since(&self, now: Duration) -> Option<Duration> {
         let Some(attached_as_of) = self.attached_as_of else {
             return Some(self.started_at);
         };
-        let over = now >= attached_as_of + self.config.doubt_after;
-        (over && self.config.defences.doubt).then_some(attached_as_of)
+        let is_expired = now >= attached_as_of + self.config.doubt_after;
+        (is_expired && self.config.defences.doubt).then_some(attached_as_of)
     }
 
-    /// The replica that is polled.
+    /// The polled replica.
     pub fn replica(&self) -> &ReplicaName {
         match (self.choice, &self.config.fallback) {
             (ReplicaChoice::Fallback, Some(fallback)) => fallback,
@@ -315,31 +323,31 @@
         }
     }
 
-    /// When [`Subscriber::next_poll`] has something next, an open poll is to be given up, or doubt begins, if nothing comes
-    /// in.
+    /// The next time at which [`Subscriber::next_poll`] has work, an open poll reaches its deadline, or the dispatcher
+    /// becomes in doubt, if no input arrives before.
     pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
         let poll = self.open_poll.as_ref().map_or(self.next_poll_at, |open_poll| open_poll.deadline);
         let probe =
             self.probe.open_poll.as_ref().map_or(self.probe.next_poll_at, |open_poll| open_poll.deadline);
         let probe = (self.choice == ReplicaChoice::Fallback).then_some(probe);
-        let doubt = self.attached_as_of.map(|at| at + self.config.doubt_after).filter(|at| *at > now);
-        [Some(poll), probe, doubt].into_iter().flatten().min()
+        let doubt_at = self.attached_as_of.map(|at| at + self.config.doubt_after).filter(|at| *at > now);
+        [Some(poll), probe, doubt_at].into_iter().flatten().min()
     }
 
-    /// What it has done.
+    /// The counters since the start.
     pub fn counters(&self) -> SubscriberCounters {
         self.counters
     }
 }
 
-/// Polls, and the choice of a replica.
+/// Polls and the choice of the replica.
 impl Subscriber {
     fn fail_overdue_polls(&mut self, now: Duration) {
-        let is_over = |open_poll: &OpenPoll| now >= open_poll.deadline;
-        if self.open_poll.as_ref().is_some_and(is_over) {
+        let is_overdue = |poll: &OpenPoll| now >= poll.deadline;
+        if self.open_poll.as_ref().is_some_and(is_overdue) {
             self.on_failure(&self.replica().clone(), now);
         }
-        if self.choice == ReplicaChoice::Fallback && self.probe.open_poll.as_ref().is_some_and(is_over) {
+        if self.choice == ReplicaChoice::Fallback && self.probe.open_poll.as_ref().is_some_and(is_overdue) {
             self.on_failure(&self.config.primary.clone(), now);
         }
     }
@@ -392,7 +400,7 @@
         Ok(AcceptedAnswer::default())
     }
 
-    /// What the answer says of the attach, and what follows for the choice of a replica.
+    /// Updates the state of the attachment after an answer, and switches replicas if necessary.
     fn update_attach(&mut self, attached: bool, standing: ReplicaStanding, sent_at: Duration, now: Duration) {
         self.next_poll_at = now;
         if attached {
@@ -404,7 +412,7 @@
         let since = *self.attaching_since.get_or_insert(now);
         if !standing.is_established() {
             self.avoid_current(now);
-            self.next_poll_at = now + self.config.retry;
+            self.next_poll_at = now + self.config.retry_delay;
             self.switch_unless_avoided(now);
         } else if now >= since + self.attach_timeout {
             let max_timeout = self.config.attach_timeout * MAX_ATTACH_TIMEOUT_FACTOR;
@@ -417,8 +425,8 @@
     fn on_poll_failed(&mut self, deadline: Duration, now: Duration) {
         self.counters.failures += 1;
         self.failures += if now >= deadline { MAX_FAILURES } else { 1 };
-        let jitter = self.config.retry.mul_f64(self.rng.f64());
-        self.next_poll_at = now + self.config.retry + jitter;
+        let jitter = self.config.retry_delay.mul_f64(self.rng.f64());
+        self.next_poll_at = now + self.config.retry_delay + jitter;
         if self.failures < MAX_FAILURES {
             return;
         }
@@ -431,6 +439,7 @@
         }
     }
 
+    /// Switches to the other replica, unless it is avoided.
     fn switch_unless_avoided(&mut self, now: Duration) {
         if let Some(other_replica) = self.other_replica()
             && !self.is_avoided(other_replica, now)
@@ -461,8 +470,8 @@
         }
     }
 
-    /// A replica is followed from its start, under a new attachment. Until that is complete, what the last one assured
-    /// holds for as long as it was to.
+    /// Switches to a replica and reads its log from the beginning, under a new attachment. Until that is complete, the
+    /// doubt timeout of the last complete attachment keeps running.
     fn switch_to(&mut self, choice: ReplicaChoice, now: Duration) {
         self.choice = choice;
         self.start_attachment(now);
@@ -486,7 +495,7 @@
     }
 }
 
-/// Records.
+/// The position in the log, and records.
 impl Subscriber {
     fn advance_position(&mut self, answer: &PollAnswer) {
         if self.position.log.as_ref() != Some(&answer.log) {
@@ -505,9 +514,10 @@
         self.log.drop_purges_before(oldest);
         let mut accepted = AcceptedAnswer::default();
         for Event { record, .. } in events {
-            let too_old = matches!(&record, Record::Purge(purge) if purge.unix_ms < oldest);
+            let is_expired = matches!(&record, Record::Purge(purge) if purge.unix_ms < oldest);
             let is_member = matches!(record, Record::Member(_));
-            if too_old || is_member || matches!(self.log.join(record.clone(), now), MergeResult::Known(_)) {
+            if is_expired || is_member || matches!(self.log.merge(record.clone(), now), MergeResult::Known(_))
+            {
                 accepted.ignored += 1;
             } else {
                 accepted.records.push(record);
@@ -520,14 +530,14 @@
 }
 
 fn check_config(config: &SubscriberConfig) -> Result<(), ConfigurationError> {
-    check_name("dispatcher's name", &config.name.0)?;
-    check_name("replica's name", &config.primary.0)?;
+    check_name("dispatcher name", &config.name.0)?;
+    check_name("replica name", &config.primary.0)?;
     if let Some(fallback) = &config.fallback {
-        check_name("fallback's name", &fallback.0)?;
+        check_name("fallback name", &fallback.0)?;
     }
     if config.fallback.as_ref() == Some(&config.primary) {
         return Err(ConfigurationError::FallbackIsPrimary(config.primary.clone()));
     }
-    let poll = ("a poll's timeout and patience", config.poll_timeout + config.poll_timeout_margin);
-    check_longer(("the doubt span", config.doubt_after), poll)
+    let poll_limit = ("the poll timeout and its margin", config.poll_timeout + config.poll_timeout_margin);
+    check_longer(("the doubt timeout", config.doubt_after), poll_limit)
 }
--- a/crates/replication/src/waiting.rs
+++ b/crates/replication/src/waiting.rs
@@ -1,46 +1,46 @@
-//! Polls that wait for news, for their batch interval, or for their timeout.
+//! Polls that wait for new records, for the end of their batch interval, or for their timeout.
 
 use crate::record::{MemberName, ReplicaName, Sequence};
 use crate::replica::PollId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Whose poll waits.
+/// The poller that a waiting poll belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PollOwner {
     Reader(PollId),
     Probe(PollId),
     Member(MemberName),
     Peer(ReplicaName),
-    /// An attachment that is over.
+    /// A dispatcher whose attachment is superseded or has ended.
     Superseded(PollId),
 }
 
-/// One poll that waits.
+/// One waiting poll.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingPoll {
     pub owner: PollOwner,
     pub since: Sequence,
-    /// It is answered by then, with or without news.
+    /// When the poll is answered, with or without new records.
     pub answer_at: Duration,
-    /// An answer with news leaves at the earliest then.
+    /// The earliest time of an answer with new records.
     pub earliest_answer_at: Duration,
 }
 
-/// The polls that wait; each is moved once between its coming and its answer.
+/// The waiting polls. Each is rescheduled at most once before its answer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitingPolls {
     polls: BTreeMap<PollId, WaitingPoll>,
     by_owner: BTreeMap<PollOwner, PollId>,
     schedule: BTreeSet<(Duration, PollId)>,
-    /// Without news, to be answered at the next record that is not a member's.
+    /// Polls without new records, to be answered at the next record that is not a member record.
     idle: BTreeSet<PollId>,
-    /// Without news, to be answered at the next record of any kind.
+    /// Polls of peers without new records, to be answered at the next record of any kind.
     idle_peers: BTreeSet<PollId>,
 }
 
 impl WaitingPolls {
-    /// A poll without news waits; an older one of the same poller is dropped.
+    /// Adds a poll that has no new records yet. A previous poll of the same poller is dropped.
     pub fn add(&mut self, id: PollId, poll: WaitingPoll) {
         self.remove(id);
         if let Some(previous) = self.by_owner.insert(poll.owner.clone(), id) {
@@ -56,7 +56,7 @@
         self.polls.insert(id, poll);
     }
 
-    /// There is news for a poll: it is answered when its batch interval is over.
+    /// Schedules the answer to a poll that has new records for the end of its batch interval.
     pub fn schedule_answer(&mut self, id: PollId) {
         let was_idle = self.idle.remove(&id) | self.idle_peers.remove(&id);
         let Some(poll) = self.polls.get_mut(&id).filter(|_| was_idle) else {
@@ -67,14 +67,14 @@
         self.schedule.insert((poll.answer_at, id));
     }
 
-    /// There is news for the poll of this poller, if one waits.
+    /// Schedules the answer to the waiting poll of a poller, if there is one.
     pub fn schedule_answer_to(&mut self, owner: &PollOwner) {
         if let Some(&id) = self.by_owner.get(owner) {
             self.schedule_answer(id);
         }
     }
 
-    /// A record was taken into the log.
+    /// Schedules answers after a record was added to the log. A member record schedules those of peers only.
     pub fn on_record_added(&mut self, is_member_record: bool) {
         let peers = std::mem::take(&mut self.idle_peers);
         let others = if is_member_record { BTreeSet::new() } else { std::mem::take(&mut self.idle) };
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The next poll that is to be answered by now.
+    /// Removes and returns the next poll whose answer is due.
     pub fn pop_due(&mut self, now: Duration) -> Option<(PollId, WaitingPoll)> {
         let (at, id) = *self.schedule.first()?;
         let poll = (at <= now).then(|| self.remove(id))??;
@@ -96,7 +96,7 @@
         self.schedule.first().map(|(at, _)| *at)
     }
 
-    /// Takes a poll out.
+    /// Removes a poll.
     pub fn remove(&mut self, id: PollId) -> Option<WaitingPoll> {
         let poll = self.drop_poll(id)?;
         self.by_owner.remove(&poll.owner);
--- a/crates/replication/src/watermark.rs
+++ b/crates/replication/src/watermark.rs
@@ -1,106 +1,109 @@
-//! Verdicts: whether a record is in force everywhere, and what it waits for.
+//! Verdicts: whether a record is in force at all dispatchers, and what it waits for.
 
 use crate::record::{MemberName, ReplicaName, Sequence};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Whether a record is applied at every dispatcher that is not in doubt.
+/// Whether a record is in force, which means applied at every dispatcher that is not in doubt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Every dispatcher that is not in doubt has applied it, or one that is greater; this stays so.
+    /// Every dispatcher that is not in doubt has applied this record or one of greater precedence. This does not change
+    /// afterwards.
     InForce {
-        /// When this replica knew so, at the latest.
+        /// The latest time at which this replica learned it.
         at: Duration,
     },
-    /// Not yet, as far as this replica knows.
+    /// The record is not in force yet, as far as this replica knows.
     Outstanding(Outstanding),
-    /// No record of this name is known: it was never published here, or it was dropped as older than any copy.
+    /// No record with this name is known. It was never published, or it was dropped as older than any cached copy.
     Unknown,
 }
 
 /// What a record waits for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outstanding {
-    /// Dispatchers that have not acknowledged it; at other replicas the first few that those name.
+    /// Dispatchers that have not acknowledged the record. Of those attached to other replicas, the first few that these
+    /// replicas report.
     pub dispatchers: Vec<MemberName>,
-    /// Replicas that it waits for, and why.
+    /// Replicas that the record waits for, with the reasons.
     pub replicas: Vec<LaggingReplica>,
-    /// Since when this replica has the record.
+    /// When this replica received the record.
     pub since: Duration,
 }
 
 /// A replica that a record waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingReplica {
-    /// The replica.
+    /// The name of the replica.
     pub name: ReplicaName,
-    /// Why.
+    /// Why the record waits for the replica.
     pub reason: Reason,
 }
 
 /// Why a record waits for a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// This replica itself has started lately, and doesn't know yet who is there.
+    /// This replica itself has started recently and does not know all members yet.
     StartUp,
-    /// No answer came within the quorum window, and fewer than a majority did answer.
+    /// The replica has not answered within the quorum window, and the record still needs it for a majority or for the
+    /// dispatchers attached to it.
     NoRecentAnswer,
-    /// It answers, and hasn't read the record yet.
+    /// The replica answers, and has not read the record yet.
     NotRead,
-    /// Dispatchers attached there have not all acknowledged it.
+    /// Not all dispatchers attached to the replica have acknowledged the record.
     NotApplied,
-    /// A dispatcher is known to be attached there of which its last report doesn't speak yet.
+    /// A dispatcher has attached to the replica, and the replica's last report does not include it yet.
     AttachedSinceReport,
-    /// Dispatchers are attached there, and it is no peer here.
+    /// Dispatchers are attached to the replica, and it is not among the peers of this replica.
     NotAPeer,
 }
 
-/// Marks that are kept of one peer's log; above it every second one is left out, which only makes a report later.
+/// The maximum number of pairs per peer. Above it, every second pair is dropped, which only delays reports.
 const MAX_SEQ_PAIRS: usize = 256;
-/// Times that are kept of when the claimed watermark rose.
+/// The maximum number of recorded times at which the watermark rose.
 const MAX_RAISE_TIMES: usize = 4096;
 
-/// The peer's log up to `peer_seq` was read when the last news of this log stood at `own_seq`.
+/// The peer's log was read up to `peer_seq` when the last data record of this log was at `own_seq`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SeqPair {
     peer_seq: Sequence,
     own_seq: Sequence,
-    at: Duration,
+    read_at: Duration,
 }
 
-/// Translates what dispatchers acknowledge of this log into what is applied of a peer's.
+/// Translates the acknowledged sequence number of this log into the applied sequence number of a peer's log.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SeqTranslation {
     pairs: VecDeque<SeqPair>,
 }
 
 impl SeqTranslation {
-    pub fn read(&mut self, peer_seq: Sequence, own_seq: Sequence, at: Duration) {
+    pub fn record(&mut self, peer_seq: Sequence, own_seq: Sequence, read_at: Duration) {
         if let Some(last) = self.pairs.back_mut()
             && last.own_seq == own_seq
         {
             last.peer_seq = last.peer_seq.max(peer_seq);
             return;
         }
-        self.pairs.push_back(SeqPair { peer_seq, own_seq, at });
+        self.pairs.push_back(SeqPair { peer_seq, own_seq, read_at });
         if self.pairs.len() > MAX_SEQ_PAIRS {
             self.drop_every_second_pair();
         }
     }
 
-    /// What of the peer's log is applied where this log is, up to `acknowledged`.
-    pub fn applied(&mut self, acknowledged: Sequence) -> Sequence {
+    /// The sequence number up to which the peer's log is applied where this log is applied up to `acknowledged`.
+    pub fn applied_seq(&mut self, acknowledged: Sequence) -> Sequence {
         while self.pairs.get(1).is_some_and(|second| second.own_seq <= acknowledged) {
             self.pairs.pop_front();
         }
-        let passed = self.pairs.front().filter(|mark| mark.own_seq <= acknowledged);
-        passed.map_or(Sequence(0), |mark| mark.peer_seq)
+        let acknowledged_pair = self.pairs.front().filter(|pair| pair.own_seq <= acknowledged);
+        acknowledged_pair.map_or(Sequence(0), |pair| pair.peer_seq)
     }
 
-    /// The place in this log that some have not acknowledged though it was read before a time.
+    /// The lowest sequence number of this log above `acknowledged`, if its records were read at `before` or earlier.
     pub fn overdue(&self, acknowledged: Sequence, before: Duration) -> Option<Sequence> {
-        let pending = self.pairs.iter().find(|mark| mark.own_seq > acknowledged)?;
-        (pending.at <= before).then_some(pending.own_seq)
+        let pending = self.pairs.iter().find(|pair| pair.own_seq > acknowledged)?;
+        (pending.read_at <= before).then_some(pending.own_seq)
     }
 
     pub fn clear(&mut self) {
@@ -117,7 +120,8 @@
     }
 }
 
-/// The claimed watermark: it never falls in one life, and remembers when it rose.
+/// The watermark up to which this replica has claimed its log to be in force. It never falls while the process runs.
+/// The times at which it rose are recorded.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClaimedWatermark {
     seq: Sequence,
@@ -140,10 +144,10 @@
         }
     }
 
-    /// When a place was claimed, at the latest.
-    pub fn at(&self, seq: Sequence) -> Option<Duration> {
-        let claimed = seq <= self.seq;
-        let raise = self.raise_times.range(seq..).next().filter(|_| claimed);
-        raise.map(|(_, at)| *at).or(claimed.then_some(Duration::ZERO))
+    /// The latest time at which a sequence number was claimed, or `None` if it is above the watermark.
+    pub fn claimed_at(&self, seq: Sequence) -> Option<Duration> {
+        let is_claimed = seq <= self.seq;
+        let raised = self.raise_times.range(seq..).next().filter(|_| is_claimed);
+        raised.map(|(_, at)| *at).or(is_claimed.then_some(Duration::ZERO))
     }
 }
--- a/crates/replication/tests/replication/rules.rs
+++ b/crates/replication/tests/replication/rules.rs
@@ -154,9 +154,9 @@
     for (less, greater) in pairs {
         for order in [[&less, &greater], [&greater, &less]] {
             let mut log = CompactedLog::default();
-            order.into_iter().for_each(|record| _ = log.join(record.clone(), Duration::ZERO));
+            order.into_iter().for_each(|record| _ = log.merge(record.clone(), Duration::ZERO));
             assert_eq!(log.get(&less.name()).expect("it is known").record, greater);
-            assert_eq!(log.since(Sequence(0), 10, Audience::Replicas).events.len(), 1);
+            assert_eq!(log.events_after(Sequence(0), 10, Audience::Replicas).events.len(), 1);
         }
     }
 }
@@ -164,21 +164,21 @@
 #[test]
 fn a_record_that_changes_nothing_takes_no_place() {
     let mut log = CompactedLog::default();
-    assert_eq!(log.join(purge(1, 5), Duration::ZERO), MergeResult::Changed(Sequence(1)));
-    assert_eq!(log.join(purge(1, 5), Duration::ZERO), MergeResult::Known(Sequence(1)));
-    assert_eq!(log.join(purge(1, 4), Duration::ZERO), MergeResult::Known(Sequence(1)));
-    assert_eq!(log.last(), Sequence(1));
+    assert_eq!(log.merge(purge(1, 5), Duration::ZERO), MergeResult::Changed(Sequence(1)));
+    assert_eq!(log.merge(purge(1, 5), Duration::ZERO), MergeResult::Known(Sequence(1)));
+    assert_eq!(log.merge(purge(1, 4), Duration::ZERO), MergeResult::Known(Sequence(1)));
+    assert_eq!(log.last_seq(), Sequence(1));
 }
 
 #[test]
 fn a_part_of_the_log_says_that_there_is_more() {
     let mut log = CompactedLog::default();
-    (1..=5).for_each(|group| _ = log.join(purge(group, 5), Duration::ZERO));
-    log.join(purge(2, 6), Duration::ZERO);
-    let part = log.since(Sequence(0), 3, Audience::Dispatchers);
+    (1..=5).for_each(|group| _ = log.merge(purge(group, 5), Duration::ZERO));
+    log.merge(purge(2, 6), Duration::ZERO);
+    let part = log.events_after(Sequence(0), 3, Audience::Dispatchers);
     let seqs: Vec<u64> = part.events.iter().map(|event| event.seq.0).collect();
     assert_eq!((seqs, part.seq, part.more), (vec![1, 3, 4], Sequence(4), true));
-    let rest = log.since(part.seq, 3, Audience::Dispatchers);
+    let rest = log.events_after(part.seq, 3, Audience::Dispatchers);
     let seqs: Vec<u64> = rest.events.iter().map(|event| event.seq.0).collect();
     assert_eq!((seqs, rest.seq, rest.more), (vec![5, 6], Sequence(6), false));
 }
@@ -186,11 +186,11 @@
 #[test]
 fn members_are_told_to_replicas_alone() {
     let mut log = CompactedLog::default();
-    log.join(purge(1, 5), Duration::ZERO);
-    log.join(member(1, attached_at("north")), Duration::ZERO);
-    let dispatchers = log.since(Sequence(0), 9, Audience::Dispatchers);
+    log.merge(purge(1, 5), Duration::ZERO);
+    log.merge(member(1, attached_at("north")), Duration::ZERO);
+    let dispatchers = log.events_after(Sequence(0), 9, Audience::Dispatchers);
     assert_eq!((dispatchers.events.len(), dispatchers.seq), (1, Sequence(2)));
-    assert_eq!(log.since(Sequence(0), 9, Audience::Replicas).events.len(), 2);
+    assert_eq!(log.events_after(Sequence(0), 9, Audience::Replicas).events.len(), 2);
     assert_eq!(log.last_data_seq(), Sequence(1));
 }
 
@@ -227,7 +227,7 @@
     let (mut replica, now) = alone();
     replica.publish(configuration(5, 1), now).expect("it is taken");
     replica.publish(host(5, "up"), now).expect("it is taken");
-    let last = replica.log().last();
+    let last = replica.log().last_seq();
     let here = START_MS + 6000;
     let kind = "configuration";
     let name = "limits".to_owned();
@@ -259,7 +259,7 @@
     for (record, error) in refused {
         assert_eq!(replica.publish(record, now), Err(error));
     }
-    assert_eq!(replica.log().last(), last);
+    assert_eq!(replica.log().last_seq(), last);
     assert_eq!(replica.counters().refused, 8);
 }
 
@@ -495,7 +495,7 @@
     backwards.results = [2, 1].map(|seq| Event { seq: Sequence(seq), record: purge(seq, START_MS) }).to_vec();
     let refused = replica.on_peer_answer(&south, backwards, ms(2));
     assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: south.clone(), event: Sequence(1) }));
-    assert_eq!(replica.log().last(), Sequence(0), "nothing of it was applied");
+    assert_eq!(replica.log().last_seq(), Sequence(0), "nothing of it was applied");
     let mut beyond = told("south", 1);
     beyond.results = vec![Event { seq: Sequence(2), record: purge(1, START_MS) }];
     replica.next_poll(ms(50)).expect("it asks again");
--- a/crates/replication/tests/replication/simulation.rs
+++ b/crates/replication/tests/replication/simulation.rs
@@ -1,4 +1,5 @@
-//! A deterministic network in virtual time: replicas, dispatchers, faults, and an oracle that knows nothing of the core.
+//! A deterministic network in virtual time: replicas, dispatchers, faults, and an oracle that knows nothing of the
+//! core.
 //!
 //! The oracle compares what dispatchers have applied with what replicas claim. It reads no watermark, no report and no
 //! membership record.
@@ -435,7 +436,7 @@
         if !self.setting.full_spans {
             config.poll_timeout = ms(200);
             config.poll_timeout_margin = ms(100);
-            config.retry = ms(40);
+            config.retry_delay = ms(40);
             config.doubt_after = ms(600);
             config.attach_timeout = ms(1200);
             config.probe_interval = ms(200);
