--- a/crates/replication/src/poll.rs
+++ b/crates/replication/src/poll.rs
@@ -1,6 +1,6 @@
 //! Polls and answers: the long poll of the change log, with additional fields.
 //!
-//! `GET /changes?since=N&timeout=MS&log=ID&acknowledged=W&role=dispatcher&name=NAME&incarnation=MS&attachment=K` is
+//! `GET /changes?since=N&timeout=MS&log=ID&whole=W&role=dispatcher&name=NAME&incarnation=MS&attachment=K` is
 //! answered by `{"log":"ID","seq":LAST,"attached":true,"results":[events...]}`.
 
 use crate::errors::{AnswerError, PollError};
--- a/crates/replication/src/replica/claims.rs
+++ b/crates/replication/src/replica/claims.rs
@@ -16,7 +16,7 @@
         self.peers.len().div_ceil(2)
     }
 
-    /// The timeout of peer polls. It is short until this replica is established, so that peers answer soon.
+    /// The timeout of peer polls, which is the batch interval until this replica is established.
     pub(super) fn peer_poll_timeout(&self) -> Duration {
         match self.standing {
             ReplicaStanding::Established => self.config.peer_timeout,
--- a/crates/replication/tests/replication/main.rs
+++ b/crates/replication/tests/replication/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the core of replication. One program, since most of them play on the same simulated network.
+//! Tests of replication. They are one program, because most of them use the same simulated network.
 
 mod defences;
 mod oracle;
--- a/crates/replication/tests/replication/rules.rs
+++ b/crates/replication/tests/replication/rules.rs
@@ -1,6 +1,6 @@
-//! Each rule and each bad input by itself.
+//! Tests of single rules and of invalid inputs.
 
-use crate::simulation::{Node, Setting, Simulation, ms, replica_name};
+use crate::simulation::{Node, Simulation, SimulationSettings, ms, replica_name};
 use myrtlegauge_replication::compacted_log::{Audience, CompactedLog, MergeResult};
 use myrtlegauge_replication::*;
 use serde_json::json;
@@ -36,9 +36,9 @@
     ReplicaConfig::new("north".into(), peers, Incarnation(START_MS))
 }
 
-/// A replica alone, past its hold.
-fn alone() -> (Replica, Duration) {
-    let mut replica = Replica::new(replica_config(&[]), Duration::ZERO).expect("a good configuration");
+/// A replica without peers, after its start-up hold.
+fn single_replica() -> (Replica, Duration) {
+    let mut replica = Replica::new(replica_config(&[]), Duration::ZERO).expect("a valid configuration");
     let now = ms(6000);
     replica.tick(now);
     assert_eq!(replica.standing(), ReplicaStanding::Established);
@@ -55,7 +55,7 @@
     PollRequest { log: log.cloned(), since, acknowledged, timeout: ms(1000), poller }
 }
 
-/// The answer to a poll, now or by its timeout.
+/// The answer to a poll, which comes by the timeout of the poll.
 fn answer(replica: &mut Replica, request: PollRequest, now: Duration) -> PollAnswer {
     let _ = replica.poll(PollId(1), request, now);
     let (_, answer) = replica.next_answer(now + ms(1000)).expect("it is answered by its timeout");
@@ -66,18 +66,19 @@
     SubscriberConfig::new("d1".into(), Incarnation(START_MS), "north".into(), Some("south".into()))
 }
 
-fn told(replica: &str, seq: u64) -> PollAnswer {
+/// An empty answer that says that the attachment is complete.
+fn attached_answer(replica: &str, seq: u64) -> PollAnswer {
     let json = format!(r#"{{"log":"{replica}-1","seq":{seq},"attached":true,"results":[]}}"#);
-    PollAnswer::from_json(&json).expect("an answer")
+    PollAnswer::from_json(&json).expect("a valid answer")
 }
 
-fn calm(replicas: usize, dispatchers: usize) -> Simulation {
-    let calm = Setting::new(1, replicas, dispatchers);
-    Simulation::new(Setting { fault_every: None, publish_every: ms(1_000_000), ..calm })
+fn without_faults(replicas: usize, dispatchers: usize) -> Simulation {
+    let settings = SimulationSettings::new(1, replicas, dispatchers);
+    Simulation::new(SimulationSettings { fault_interval: None, publish_interval: ms(1_000_000), ..settings })
 }
 
-fn run_for(simulation: &mut Simulation, span_ms: u64) {
-    simulation.run_until(simulation.now + ms(span_ms));
+fn run_for_ms(simulation: &mut Simulation, duration_ms: u64) {
+    simulation.run_until(simulation.now + ms(duration_ms));
 }
 
 fn publish(simulation: &mut Simulation, replica: usize, group: u64) -> RecordName {
@@ -90,7 +91,7 @@
 fn outstanding(verdict: Verdict) -> Outstanding {
     match verdict {
         Verdict::Outstanding(outstanding) => outstanding,
-        other => panic!("{other:?} where it is outstanding"),
+        other => panic!("expected an outstanding record, got {other:?}"),
     }
 }
 
@@ -102,7 +103,7 @@
 
 #[test]
 fn events_have_the_json_of_the_change_log() {
-    let forms = [
+    let cases = [
         (purge(17, 5), json!({"seq": 1, "invalidate": {"bucket": 17, "time": 5}})),
         (
             Record::Purge(Purge { target: PurgeTarget::Object("7f3a".into()), unix_ms: 5 }),
@@ -123,26 +124,26 @@
                 "state": {"attached_at": "north"}}}),
         ),
     ];
-    for (record, form) in forms {
+    for (record, json_form) in cases {
         let event = Event { seq: Sequence(1), record };
-        assert_eq!(serde_json::to_value(&event).expect("it is written"), form);
-        assert_eq!(serde_json::from_value::<Event>(form).expect("it is read"), event);
+        assert_eq!(serde_json::to_value(&event).expect("it is serialized"), json_form);
+        assert_eq!(serde_json::from_value::<Event>(json_form).expect("it is parsed"), event);
     }
 }
 
 #[test]
-fn a_host_line_of_two_endpoints_or_a_snapshot_is_refused() {
-    for form in [
+fn host_lines_with_two_endpoints_or_a_snapshot_are_rejected() {
+    for json_form in [
         json!({"seq": 1, "fleet": {"snapshot": false, "endpoints": [{"name": "a"}, {"name": "b"}]}}),
         json!({"seq": 1, "fleet": {"snapshot": true, "endpoints": [{"name": "a"}]}}),
         json!({"seq": 1, "fleet": {"snapshot": false, "endpoints": [{"address": "a"}]}}),
     ] {
-        assert!(serde_json::from_value::<Event>(form.clone()).is_err(), "{form}");
+        assert!(serde_json::from_value::<Event>(json_form.clone()).is_err(), "{json_form}");
     }
 }
 
 #[test]
-fn of_two_records_of_a_name_the_greater_stamp_stays_in_either_order() {
+fn the_record_of_greater_precedence_is_kept_in_either_order() {
     let pairs = [
         (purge(1, 5), purge(1, 6)),
         (host(1, "up"), host(2, "down")),
@@ -151,18 +152,18 @@
         (member(1, attached_at("north")), member(2, attached_at("east"))),
         (member(1, attached_at("north")), member(1, MemberState::Left(5))),
     ];
-    for (less, greater) in pairs {
-        for order in [[&less, &greater], [&greater, &less]] {
+    for (lesser, greater) in pairs {
+        for order in [[&lesser, &greater], [&greater, &lesser]] {
             let mut log = CompactedLog::default();
             order.into_iter().for_each(|record| _ = log.merge(record.clone(), Duration::ZERO));
-            assert_eq!(log.get(&less.name()).expect("it is known").record, greater);
+            assert_eq!(log.get(&lesser.name()).expect("it is known").record, greater);
             assert_eq!(log.events_after(Sequence(0), 10, Audience::Replicas).events.len(), 1);
         }
     }
 }
 
 #[test]
-fn a_record_that_changes_nothing_takes_no_place() {
+fn a_record_that_changes_nothing_gets_no_sequence_number() {
     let mut log = CompactedLog::default();
     assert_eq!(log.merge(purge(1, 5), Duration::ZERO), MergeResult::Changed(Sequence(1)));
     assert_eq!(log.merge(purge(1, 5), Duration::ZERO), MergeResult::Known(Sequence(1)));
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn a_part_of_the_log_says_that_there_is_more() {
+fn a_slice_of_the_log_indicates_that_there_is_more() {
     let mut log = CompactedLog::default();
     (1..=5).for_each(|group| _ = log.merge(purge(group, 5), Duration::ZERO));
     log.merge(purge(2, 6), Duration::ZERO);
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn members_are_told_to_replicas_alone() {
+fn member_records_are_sent_to_replicas_only() {
     let mut log = CompactedLog::default();
     log.merge(purge(1, 5), Duration::ZERO);
     log.merge(member(1, attached_at("north")), Duration::ZERO);
@@ -195,12 +196,12 @@
 }
 
 #[test]
-fn purges_older_than_any_copy_are_dropped() {
+fn purges_older_than_the_retention_are_dropped() {
     let mut config = replica_config(&[]);
     config.purge_retention = ms(10_000);
-    let mut replica = Replica::new(config, Duration::ZERO).expect("a good configuration");
+    let mut replica = Replica::new(config, Duration::ZERO).expect("a valid configuration");
     replica.tick(ms(6000));
-    replica.publish(purge(1, START_MS), ms(6000)).expect("it is taken");
+    replica.publish(purge(1, START_MS), ms(6000)).expect("it is accepted");
     replica.tick(ms(9000));
     assert!(matches!(replica.in_force(&RecordName::Group(1), ms(9000)), Verdict::InForce { .. }));
     replica.tick(ms(10_001));
@@ -209,10 +210,10 @@
 }
 
 #[test]
-fn members_that_left_are_forgotten_after_a_span() {
+fn members_that_left_are_dropped_after_the_retention() {
     let mut config = replica_config(&[]);
     config.left_member_retention = ms(20_000);
-    let mut replica = Replica::new(config, Duration::ZERO).expect("a good configuration");
+    let mut replica = Replica::new(config, Duration::ZERO).expect("a valid configuration");
     answer(&mut replica, poll(dispatcher(1), None, 0), ms(6000));
     replica.tick(ms(16_000));
     assert_eq!(replica.members()[0].replica, None);
@@ -223,12 +224,12 @@
 // Publishing.
 
 #[test]
-fn publications_that_can_not_be_taken_are_refused_and_change_nothing() {
-    let (mut replica, now) = alone();
-    replica.publish(configuration(5, 1), now).expect("it is taken");
-    replica.publish(host(5, "up"), now).expect("it is taken");
+fn invalid_publications_are_rejected_and_change_nothing() {
+    let (mut replica, now) = single_replica();
+    replica.publish(configuration(5, 1), now).expect("it is accepted");
+    replica.publish(host(5, "up"), now).expect("it is accepted");
     let last = replica.log().last_seq();
-    let here = START_MS + 6000;
+    let now_unix_ms = START_MS + 6000;
     let kind = "configuration";
     let name = "limits".to_owned();
     let refused = [
@@ -242,17 +243,20 @@
             RecordError::Conflict { kind: "host", name: "c1".into(), version: Version(5) }.into(),
         ),
         (
-            purge(1, here - 86_400_001),
-            PublishError::PurgeTooOld { unix_ms: here - 86_400_001, oldest: here - 86_400_000 },
+            purge(1, now_unix_ms - 86_400_001),
+            PublishError::PurgeTooOld { unix_ms: now_unix_ms - 86_400_001, oldest: now_unix_ms - 86_400_000 },
+        ),
+        (
+            purge(1, now_unix_ms + 10_001),
+            PublishError::PurgeAhead { unix_ms: now_unix_ms + 10_001, ahead_ms: 10_001 },
         ),
-        (purge(1, here + 10_001), PublishError::PurgeAhead { unix_ms: here + 10_001, ahead_ms: 10_001 }),
         (member(1, attached_at("north")), PublishError::Member("d1".into())),
         (
-            Record::Purge(Purge { target: PurgeTarget::Object(String::new()), unix_ms: here }),
+            Record::Purge(Purge { target: PurgeTarget::Object(String::new()), unix_ms: now_unix_ms }),
             PublishError::Name { length: 0, max: 255 },
         ),
         (
-            Record::Purge(Purge { target: PurgeTarget::Object("a".repeat(256)), unix_ms: here }),
+            Record::Purge(Purge { target: PurgeTarget::Object("a".repeat(256)), unix_ms: now_unix_ms }),
             PublishError::Name { length: 256, max: 255 },
         ),
     ];
@@ -264,8 +268,8 @@
 }
 
 #[test]
-fn the_same_record_again_and_an_older_purge_keep_their_place() {
-    let (mut replica, now) = alone();
+fn a_repeated_record_and_an_older_purge_keep_the_sequence_number() {
+    let (mut replica, now) = single_replica();
     let seq = replica.publish(configuration(5, 1), now);
     assert_eq!(replica.publish(configuration(5, 1), now), seq);
     let seq = replica.publish(purge(1, START_MS + 100), now);
@@ -273,25 +277,25 @@
 }
 
 #[test]
-fn records_are_bounded() {
+fn the_number_of_records_is_limited() {
     let mut config = replica_config(&[]);
     config.max_records = 1;
-    let mut replica = Replica::new(config, Duration::ZERO).expect("a good configuration");
-    replica.publish(purge(1, START_MS), Duration::ZERO).expect("it is taken");
-    replica.publish(purge(1, START_MS + 1), Duration::ZERO).expect("a known name takes no more room");
+    let mut replica = Replica::new(config, Duration::ZERO).expect("a valid configuration");
+    replica.publish(purge(1, START_MS), Duration::ZERO).expect("it is accepted");
+    replica.publish(purge(1, START_MS + 1), Duration::ZERO).expect("a known name does not count twice");
     assert_eq!(replica.publish(purge(2, START_MS), Duration::ZERO), Err(PublishError::Full { max: 1 }));
 }
 
 #[test]
-fn an_unknown_name_is_said_to_be_unknown() {
-    let (mut replica, now) = alone();
+fn the_verdict_on_an_unknown_name_is_unknown() {
+    let (mut replica, now) = single_replica();
     assert_eq!(replica.in_force(&RecordName::Group(1), now), Verdict::Unknown);
 }
 
 // Polls.
 
 #[test]
-fn queries_that_can_not_be_read_say_which_field() {
+fn errors_of_invalid_queries_name_the_field() {
     let refused = [
         ("since=x", "since"),
         ("timeout=-1", "timeout"),
@@ -322,7 +326,7 @@
 }
 
 #[test]
-fn answers_that_can_not_be_read_are_refused() {
+fn unreadable_answers_are_rejected() {
     for body in
         ["", "{}", r#"{"log":"a","seq":-1,"results":[]}"#, r#"{"log":"a","seq":1,"results":[{"seq":1}]}"#]
     {
@@ -332,8 +336,8 @@
 
 #[test]
 fn a_poll_of_another_log_is_answered_from_the_start() {
-    let (mut replica, now) = alone();
-    replica.publish(purge(1, START_MS), now).expect("it is taken");
+    let (mut replica, now) = single_replica();
+    replica.publish(purge(1, START_MS), now).expect("it is accepted");
     let other = LogId::from("another");
     let answer = answer(&mut replica, poll(dispatcher(1), Some(&other), 7), now);
     assert_eq!((answer.results.len(), answer.seq), (1, Sequence(2)));
@@ -341,9 +345,9 @@
 }
 
 #[test]
-fn a_poll_ahead_of_the_log_is_an_error_and_answered_from_the_start() {
-    let (mut replica, now) = alone();
-    replica.publish(purge(1, START_MS), now).expect("it is taken");
+fn a_poll_ahead_of_the_log_is_reported_and_answered_from_the_start() {
+    let (mut replica, now) = single_replica();
+    replica.publish(purge(1, START_MS), now).expect("it is accepted");
     let log = answer(&mut replica, poll(dispatcher(1), None, 0), now).log;
     let (since, last) = (Sequence(9), Sequence(2));
     let ahead = replica.poll(PollId(2), poll(dispatcher(1), Some(&log), 9), now + ms(1000));
@@ -354,73 +358,73 @@
 }
 
 #[test]
-fn a_poll_by_an_attachment_that_is_over_is_told_so() {
-    let (mut replica, now) = alone();
+fn a_poll_under_a_superseded_attachment_is_answered_as_superseded() {
+    let (mut replica, now) = single_replica();
     answer(&mut replica, poll(dispatcher(2), None, 0), now);
     let name = MemberName::from("d1");
-    let over = replica.poll(PollId(2), poll(dispatcher(1), None, 0), now);
-    assert_eq!(over, Err(PollError::Superseded { name }));
-    let (id, answer) = replica.next_answer(now).expect("it is answered at once");
+    let superseded = replica.poll(PollId(2), poll(dispatcher(1), None, 0), now);
+    assert_eq!(superseded, Err(PollError::Superseded { name }));
+    let (id, answer) = replica.next_answer(now).expect("it is answered immediately");
     assert!(id == PollId(2) && answer.superseded);
 }
 
 #[test]
-fn members_are_bounded_and_unknown_replicas_refused() {
+fn the_number_of_members_is_limited_and_unknown_replicas_are_rejected() {
     let mut config = replica_config(&["south"]);
     config.max_members = 1;
-    let mut replica = Replica::new(config, Duration::ZERO).expect("a good configuration");
-    replica.poll(PollId(1), poll(dispatcher(1), None, 0), ms(1)).expect("the first is taken");
+    let mut replica = Replica::new(config, Duration::ZERO).expect("a valid configuration");
+    replica.poll(PollId(1), poll(dispatcher(1), None, 0), ms(1)).expect("the first is accepted");
     let (name, incarnation, attachment) = ("d2".into(), Incarnation(1), Attachment(1));
     let second = Poller::Dispatcher { name, incarnation, attachment, leaving: false };
     let refused = replica.poll(PollId(2), poll(second, None, 0), ms(1));
     assert_eq!(refused, Err(PollError::TooManyMembers { name: "d2".into(), max: 1 }));
-    let stranger = Poller::Replica { name: "west".into(), own_log: "west-1".into() };
-    let refused = replica.poll(PollId(3), poll(stranger, None, 0), ms(1));
+    let unknown_replica = Poller::Replica { name: "west".into(), own_log: "west-1".into() };
+    let refused = replica.poll(PollId(3), poll(unknown_replica, None, 0), ms(1));
     assert_eq!(refused, Err(PollError::UnknownReplica("west".into())));
-    assert!(!refused.expect_err("it is refused").is_answered());
+    assert!(!refused.expect_err("it is rejected").is_answered());
 }
 
 #[test]
-fn an_answer_leaves_a_batch_interval_after_the_one_before() {
-    let (mut replica, now) = alone();
+fn answers_are_at_least_a_batch_interval_apart() {
+    let (mut replica, now) = single_replica();
     let log = answer(&mut replica, poll(dispatcher(1), None, 0), now).log;
     let now = now + ms(1000);
-    replica.publish(purge(1, START_MS), now).expect("it is taken");
-    replica.poll(PollId(2), poll(dispatcher(1), Some(&log), 1), now + ms(1)).expect("it is taken");
+    replica.publish(purge(1, START_MS), now).expect("it is accepted");
+    replica.poll(PollId(2), poll(dispatcher(1), Some(&log), 1), now + ms(1)).expect("it is accepted");
     assert!(replica.next_answer(now + ms(99)).is_none());
     assert!(replica.next_answer(now + ms(100)).is_some());
 }
 
 #[test]
-fn a_reader_is_no_member_and_a_probe_is_answered_at_once() {
-    let (mut replica, now) = alone();
-    replica.publish(purge(1, START_MS), now).expect("it is taken");
+fn a_reader_is_no_member_and_a_probe_is_answered_immediately() {
+    let (mut replica, now) = single_replica();
+    replica.publish(purge(1, START_MS), now).expect("it is accepted");
     assert_eq!(answer(&mut replica, poll(Poller::Reader, None, 0), now).results.len(), 1);
-    replica.poll(PollId(2), poll(Poller::Probe, None, 0), now).expect("it is taken");
-    let (_, answer) = replica.next_answer(now).expect("at once");
+    replica.poll(PollId(2), poll(Poller::Probe, None, 0), now).expect("it is accepted");
+    let (_, answer) = replica.next_answer(now).expect("it is answered immediately");
     assert_eq!(answer.results, []);
     assert_eq!(replica.members(), []);
 }
 
 #[test]
-fn a_poll_that_is_cancelled_or_replaced_gets_no_answer() {
-    let (mut replica, now) = alone();
+fn cancelled_and_replaced_polls_get_no_answer() {
+    let (mut replica, now) = single_replica();
     let log = answer(&mut replica, poll(dispatcher(1), None, 0), now).log;
-    replica.poll(PollId(2), poll(dispatcher(1), Some(&log), 1), now).expect("it is taken");
-    replica.poll(PollId(3), poll(dispatcher(1), Some(&log), 1), now).expect("it is taken");
-    replica.publish(purge(1, START_MS), now).expect("it is taken");
+    replica.poll(PollId(2), poll(dispatcher(1), Some(&log), 1), now).expect("it is accepted");
+    replica.poll(PollId(3), poll(dispatcher(1), Some(&log), 1), now).expect("it is accepted");
+    replica.publish(purge(1, START_MS), now).expect("it is accepted");
     let later = now + ms(2000);
-    assert_eq!(replica.next_answer(later).expect("the newer one").0, PollId(3));
+    assert_eq!(replica.next_answer(later).expect("the newer poll is answered").0, PollId(3));
     assert!(replica.next_answer(later).is_none());
-    replica.poll(PollId(4), poll(dispatcher(1), Some(&log), 1), later).expect("it is taken");
+    replica.poll(PollId(4), poll(dispatcher(1), Some(&log), 1), later).expect("it is accepted");
     replica.cancel(PollId(4));
     assert!(replica.next_answer(later + ms(2000)).is_none());
 }
 
 #[test]
-fn an_attach_alone_is_complete_once_all_is_acknowledged() {
-    let (mut replica, now) = alone();
-    replica.publish(purge(1, START_MS), now).expect("it is taken");
+fn an_attachment_at_a_single_replica_completes_once_all_is_acknowledged() {
+    let (mut replica, now) = single_replica();
+    replica.publish(purge(1, START_MS), now).expect("it is accepted");
     let first = answer(&mut replica, poll(dispatcher(1), None, 0), now);
     assert!(!first.attached && first.results.len() == 1);
     let second = answer(&mut replica, poll(dispatcher(1), Some(&first.log), 2), now + ms(1000));
@@ -429,30 +433,33 @@
 }
 
 #[test]
-fn a_dispatcher_that_leaves_is_waited_for_no_more() {
-    let (mut replica, now) = alone();
+fn records_do_not_wait_for_a_dispatcher_that_left() {
+    let (mut replica, now) = single_replica();
     answer(&mut replica, poll(dispatcher(1), None, 0), now);
-    replica.publish(purge(1, START_MS), now).expect("it is taken");
+    replica.publish(purge(1, START_MS), now).expect("it is accepted");
     let verdict = replica.in_force(&RecordName::Group(1), now);
     assert_eq!(outstanding(verdict).dispatchers, ["d1".into()]);
     let (name, incarnation, attachment) = ("d1".into(), Incarnation(1), Attachment(1));
     let leaving = Poller::Dispatcher { name, incarnation, attachment, leaving: true };
-    replica.poll(PollId(5), poll(leaving, None, 0), now).expect("it is taken");
+    replica.poll(PollId(5), poll(leaving, None, 0), now).expect("it is accepted");
     assert!(matches!(replica.in_force(&RecordName::Group(1), now), Verdict::InForce { .. }));
     let old = replica.poll(PollId(6), poll(dispatcher(1), None, 0), now);
-    assert!(matches!(old, Err(PollError::Superseded { .. })), "an old poll revives nobody");
+    assert!(
+        matches!(old, Err(PollError::Superseded { .. })),
+        "an old poll does not attach the dispatcher again"
+    );
 }
 
 // Configurations.
 
 #[test]
-fn configurations_that_can_not_work_say_why() {
+fn invalid_configurations_are_rejected_with_the_reason() {
     let error = |config| Replica::new(config, Duration::ZERO).err();
     assert_eq!(error(replica_config(&["north"])), Some(ConfigurationError::OwnPeer("north".into())));
     let twice = replica_config(&["south", "south"]);
     assert_eq!(error(twice), Some(ConfigurationError::PeerTwice("south".into())));
     assert!(matches!(error(replica_config(&[""])), Some(ConfigurationError::Name { .. })));
-    let changes: [fn(&mut ReplicaConfig); 6] = [
+    let invalidations: [fn(&mut ReplicaConfig); 6] = [
         |config| config.max_batch_records = 0,
         |config| config.max_members = 0,
         |config| config.max_records = 0,
@@ -460,12 +467,13 @@
         |config| config.start_up_hold = config.quorum_window,
         |config| config.quorum_window = config.peer_timeout,
     ];
-    for change in changes {
+    for change in invalidations {
         let mut config = replica_config(&["south"]);
         change(&mut config);
-        let error = error(config).expect("it can't work");
-        let typed = matches!(error, ConfigurationError::Zero(_) | ConfigurationError::TooShort { .. });
-        assert!(typed, "{error}");
+        let error = error(config).expect("the configuration is invalid");
+        let is_expected_error =
+            matches!(error, ConfigurationError::Zero(_) | ConfigurationError::TooShort { .. });
+        assert!(is_expected_error, "{error}");
     }
     let error = |config| Subscriber::new(config, Duration::ZERO).err();
     let mut config = subscriber_config();
@@ -482,128 +490,130 @@
 // Peers.
 
 #[test]
-fn answers_of_peers_that_were_not_asked_or_go_back_are_refused() {
-    let mut replica = Replica::new(replica_config(&["south"]), Duration::ZERO).expect("a good configuration");
+fn unsolicited_and_unordered_answers_of_peers_are_rejected() {
+    let mut replica =
+        Replica::new(replica_config(&["south"]), Duration::ZERO).expect("a valid configuration");
     let south = ReplicaName::from("south");
-    let refused = replica.on_peer_answer(&south, told("south", 1), ms(1));
+    let refused = replica.on_peer_answer(&south, attached_answer("south", 1), ms(1));
     assert_eq!(refused, Err(AnswerError::Unsolicited(south.clone())));
     let west = ReplicaName::from("west");
-    let refused = replica.on_peer_answer(&west, told("west", 1), ms(1));
+    let refused = replica.on_peer_answer(&west, attached_answer("west", 1), ms(1));
     assert_eq!(refused, Err(AnswerError::UnknownReplica(west)));
-    replica.next_poll(ms(1)).expect("it asks at once");
-    let mut backwards = told("south", 2);
+    replica.next_poll(ms(1)).expect("it polls immediately");
+    let mut backwards = attached_answer("south", 2);
     backwards.results = [2, 1].map(|seq| Event { seq: Sequence(seq), record: purge(seq, START_MS) }).to_vec();
     let refused = replica.on_peer_answer(&south, backwards, ms(2));
     assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: south.clone(), event: Sequence(1) }));
-    assert_eq!(replica.log().last_seq(), Sequence(0), "nothing of it was applied");
-    let mut beyond = told("south", 1);
+    assert_eq!(replica.log().last_seq(), Sequence(0), "nothing of the answer was applied");
+    let mut beyond = attached_answer("south", 1);
     beyond.results = vec![Event { seq: Sequence(2), record: purge(1, START_MS) }];
-    replica.next_poll(ms(50)).expect("it asks again");
+    replica.next_poll(ms(50)).expect("it polls again");
     let refused = replica.on_peer_answer(&south, beyond, ms(51));
     assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: south, event: Sequence(2) }));
 }
 
 #[test]
-fn replicas_without_news_come_to_rest() {
-    let mut simulation = calm(5, 10);
-    run_for(&mut simulation, 6000);
+fn replicas_without_new_records_exchange_no_records() {
+    let mut simulation = without_faults(5, 10);
+    run_for_ms(&mut simulation, 6000);
     publish(&mut simulation, 0, 1);
-    run_for(&mut simulation, 2000);
+    run_for_ms(&mut simulation, 2000);
     let answers = |simulation: &Simulation| -> u64 {
         (0..5).map(|index| simulation.replica(index).counters().answers).sum()
     };
-    let told = |simulation: &Simulation| -> u64 {
+    let records_sent = |simulation: &Simulation| -> u64 {
         (0..5).map(|index| simulation.replica(index).counters().records_told).sum()
     };
-    let (answers_before, told_before) = (answers(&simulation), told(&simulation));
-    run_for(&mut simulation, 2000);
-    assert_eq!(told(&simulation), told_before);
-    // Twenty links and ten dispatchers, each by a timeout of 200 ms.
+    let (answers_before, records_before) = (answers(&simulation), records_sent(&simulation));
+    run_for_ms(&mut simulation, 2000);
+    assert_eq!(records_sent(&simulation), records_before);
+    // Twenty links and ten dispatchers, each with one answer per timeout of 200 ms.
     let in_two_seconds = answers(&simulation) - answers_before;
     assert!(in_two_seconds <= 30 * 10, "{in_two_seconds}");
 }
 
 #[test]
-fn a_purge_comes_in_force_at_all_replicas() {
-    let mut simulation = calm(9, 36);
-    run_for(&mut simulation, 6000);
+fn a_purge_comes_into_force_at_all_replicas() {
+    let mut simulation = without_faults(9, 36);
+    run_for_ms(&mut simulation, 6000);
     let name = publish(&mut simulation, 4, 1);
-    run_for(&mut simulation, 400);
+    run_for_ms(&mut simulation, 400);
     for replica in 0..9 {
         assert!(in_force(&mut simulation, replica, &name), "{:?}", simulation.verdict(replica, &name));
     }
-    assert_eq!(simulation.lacking(), Vec::<String>::new());
+    assert_eq!(simulation.missing_at_dispatchers(), Vec::<String>::new());
 }
 
 #[test]
-fn a_frozen_dispatcher_is_named_and_wakes_in_doubt() {
-    let mut simulation = calm(3, 6);
-    run_for(&mut simulation, 5000);
+fn a_frozen_dispatcher_is_named_as_lagging_and_resumes_in_doubt() {
+    let mut simulation = without_faults(3, 6);
+    run_for_ms(&mut simulation, 5000);
     simulation.freeze(Node::Dispatcher(4));
-    run_for(&mut simulation, 100);
+    run_for_ms(&mut simulation, 100);
     let name = publish(&mut simulation, 0, 1);
-    run_for(&mut simulation, 1200);
-    // Its replica knows it; the others by that replica's report.
+    run_for_ms(&mut simulation, 1200);
+    // Its replica names it directly, and the other replicas by that replica's report.
     for replica in 0..3 {
         let verdict = simulation.verdict(replica, &name);
         assert_eq!(outstanding(verdict).dispatchers, ["d4".into()], "at r{replica}");
     }
-    simulation.thaw(Node::Dispatcher(4));
-    assert!(simulation.in_doubt_since(4));
-    run_for(&mut simulation, 1000);
-    assert!(!simulation.in_doubt_since(4));
+    simulation.resume(Node::Dispatcher(4));
+    assert!(simulation.is_in_doubt(4));
+    run_for_ms(&mut simulation, 1000);
+    assert!(!simulation.is_in_doubt(4));
     assert!(in_force(&mut simulation, 0, &name));
 }
 
 #[test]
-fn a_killed_dispatcher_is_outstanding_by_name_until_its_lease_expires() {
-    let mut simulation = calm(3, 6);
-    run_for(&mut simulation, 5000);
+fn a_killed_dispatcher_is_named_as_lagging_until_its_lease_expires() {
+    let mut simulation = without_faults(3, 6);
+    run_for_ms(&mut simulation, 5000);
     simulation.kill(Node::Dispatcher(4));
     let name = publish(&mut simulation, 1, 1);
-    run_for(&mut simulation, 1500);
+    run_for_ms(&mut simulation, 1500);
     assert_eq!(outstanding(simulation.verdict(1, &name)).dispatchers, ["d4".into()]);
-    run_for(&mut simulation, 1500);
+    run_for_ms(&mut simulation, 1500);
     assert!((0..3).all(|replica| in_force(&mut simulation, replica, &name)));
     assert_eq!(simulation.replica(1).counters().expired, 1);
 }
 
 #[test]
-fn a_killed_dispatcher_that_comes_back_is_waited_for_anew() {
-    let mut simulation = calm(3, 6);
-    run_for(&mut simulation, 5000);
+fn a_purge_comes_into_force_once_a_killed_dispatcher_has_restarted_and_attached() {
+    let mut simulation = without_faults(3, 6);
+    run_for_ms(&mut simulation, 5000);
     simulation.kill(Node::Dispatcher(4));
     let name = publish(&mut simulation, 1, 1);
-    run_for(&mut simulation, 300);
+    run_for_ms(&mut simulation, 300);
     simulation.start(Node::Dispatcher(4));
-    run_for(&mut simulation, 500);
+    run_for_ms(&mut simulation, 500);
     assert!(in_force(&mut simulation, 1, &name));
-    assert!(!simulation.in_doubt_since(4));
+    assert!(!simulation.is_in_doubt(4));
     assert_eq!(simulation.replica(1).counters().expired, 0);
 }
 
 #[test]
-fn parted_regions_are_named_and_all_comes_in_force_after() {
-    let mut simulation = calm(5, 10);
-    run_for(&mut simulation, 5000);
-    let ways: Vec<(usize, usize)> = [0, 1]
+fn partitioned_replicas_are_named_and_all_records_come_into_force_afterwards() {
+    let mut simulation = without_faults(5, 10);
+    run_for_ms(&mut simulation, 5000);
+    let links: Vec<(usize, usize)> = [0, 1]
         .iter()
         .flat_map(|&one| [2, 3, 4].map(|other| [(one, other), (other, one)]))
         .flatten()
         .collect();
-    simulation.cut(&ways);
-    run_for(&mut simulation, 700);
+    simulation.cut_links(&links);
+    run_for_ms(&mut simulation, 700);
     let minority = publish(&mut simulation, 0, 1);
     let majority = publish(&mut simulation, 3, 2);
-    run_for(&mut simulation, 3000);
-    let waited = outstanding(simulation.verdict(3, &majority));
-    let not_heard: Vec<ReplicaName> = waited.replicas.iter().map(|lagging| lagging.name.clone()).collect();
-    assert_eq!(not_heard, [replica_name(0), replica_name(1)]);
-    assert!(waited.replicas.iter().all(|lagging| lagging.reason == Reason::NoRecentAnswer));
-    let waited = outstanding(simulation.verdict(0, &minority));
-    assert_eq!(waited.replicas.len(), 3);
-    simulation.join(&ways);
-    run_for(&mut simulation, 3000);
+    run_for_ms(&mut simulation, 3000);
+    let outstanding_record = outstanding(simulation.verdict(3, &majority));
+    let unreachable: Vec<ReplicaName> =
+        outstanding_record.replicas.iter().map(|lagging| lagging.name.clone()).collect();
+    assert_eq!(unreachable, [replica_name(0), replica_name(1)]);
+    assert!(outstanding_record.replicas.iter().all(|lagging| lagging.reason == Reason::NoRecentAnswer));
+    let outstanding_record = outstanding(simulation.verdict(0, &minority));
+    assert_eq!(outstanding_record.replicas.len(), 3);
+    simulation.restore_links(&links);
+    run_for_ms(&mut simulation, 3000);
     for replica in 0..5 {
         assert!(
             in_force(&mut simulation, replica, &minority) && in_force(&mut simulation, replica, &majority)
@@ -612,81 +622,87 @@
 }
 
 #[test]
-fn a_restarted_replica_holds_and_then_reads_its_peers() {
-    let mut simulation = calm(5, 10);
-    run_for(&mut simulation, 5000);
+fn a_restarted_replica_is_established_after_its_hold_and_reading_its_peers() {
+    let mut simulation = without_faults(5, 10);
+    run_for_ms(&mut simulation, 5000);
     let name = publish(&mut simulation, 0, 1);
-    run_for(&mut simulation, 500);
+    run_for_ms(&mut simulation, 500);
     simulation.kill(Node::Replica(2));
     simulation.start(Node::Replica(2));
-    run_for(&mut simulation, 500);
+    run_for_ms(&mut simulation, 500);
     assert_eq!(simulation.replica(2).standing(), ReplicaStanding::Starting);
-    let waited = outstanding(simulation.verdict(2, &name));
-    assert_eq!(waited.replicas[0], LaggingReplica { name: replica_name(2), reason: Reason::StartUp });
-    run_for(&mut simulation, 1500);
+    let outstanding_record = outstanding(simulation.verdict(2, &name));
+    assert_eq!(
+        outstanding_record.replicas[0],
+        LaggingReplica { name: replica_name(2), reason: Reason::StartUp }
+    );
+    run_for_ms(&mut simulation, 1500);
     assert_eq!(simulation.replica(2).standing(), ReplicaStanding::Established);
     assert!(in_force(&mut simulation, 2, &name));
-    assert!((0..10).all(|dispatcher| !simulation.in_doubt_since(dispatcher)));
+    assert!((0..10).all(|dispatcher| !simulation.is_in_doubt(dispatcher)));
 }
 
 #[test]
-fn a_restarted_replica_waits_while_too_few_are_heard() {
-    let mut simulation = calm(5, 5);
-    run_for(&mut simulation, 5000);
-    simulation.cut(&[(2, 0), (0, 2), (2, 1), (1, 2)]);
+fn a_restarted_replica_waits_while_too_few_peers_answer() {
+    let mut simulation = without_faults(5, 5);
+    run_for_ms(&mut simulation, 5000);
+    simulation.cut_links(&[(2, 0), (0, 2), (2, 1), (1, 2)]);
     simulation.kill(Node::Replica(2));
     simulation.start(Node::Replica(2));
-    run_for(&mut simulation, 4000);
-    // Two others are heard; three are needed.
+    run_for_ms(&mut simulation, 4000);
+    // Two peers answer, and three are required.
     assert_eq!(simulation.replica(2).standing(), ReplicaStanding::Waiting);
-    simulation.join(&[(2, 0), (0, 2)]);
-    run_for(&mut simulation, 1000);
+    simulation.restore_links(&[(2, 0), (0, 2)]);
+    run_for_ms(&mut simulation, 1000);
     assert_eq!(simulation.replica(2).standing(), ReplicaStanding::Established);
 }
 
 #[test]
-fn after_a_restart_of_all_the_fleet_attaches_anew() {
-    let mut simulation = calm(5, 10);
-    run_for(&mut simulation, 5000);
+fn all_dispatchers_attach_again_after_a_restart_of_all_replicas() {
+    let mut simulation = without_faults(5, 10);
+    run_for_ms(&mut simulation, 5000);
     publish(&mut simulation, 0, 1);
-    run_for(&mut simulation, 500);
+    run_for_ms(&mut simulation, 500);
     (0..5).for_each(|index| simulation.kill(Node::Replica(index)));
     (0..5).for_each(|index| simulation.start(Node::Replica(index)));
-    run_for(&mut simulation, 800);
-    assert!((0..10).all(|dispatcher| simulation.in_doubt_since(dispatcher)), "nobody can assure them");
-    run_for(&mut simulation, 3000);
-    assert!((0..10).all(|dispatcher| !simulation.in_doubt_since(dispatcher)));
+    run_for_ms(&mut simulation, 800);
+    assert!(
+        (0..10).all(|dispatcher| simulation.is_in_doubt(dispatcher)),
+        "no replica can complete their attachments"
+    );
+    run_for_ms(&mut simulation, 3000);
+    assert!((0..10).all(|dispatcher| !simulation.is_in_doubt(dispatcher)));
     let name = publish(&mut simulation, 3, 2);
-    run_for(&mut simulation, 500);
+    run_for_ms(&mut simulation, 500);
     assert!((0..5).all(|replica| in_force(&mut simulation, replica, &name)));
 }
 
-// The dispatcher's side.
+// Subscribers.
 
 #[test]
-fn a_dispatcher_without_answers_is_in_doubt_since_the_last() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(100)).expect("a good configuration");
+fn a_dispatcher_without_answers_is_in_doubt_since_the_last_answered_poll() {
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(100)).expect("a valid configuration");
     assert_eq!(subscriber.in_doubt_since(ms(100)), Some(ms(100)));
-    let ask = subscriber.next_poll(ms(200)).expect("it asks");
-    subscriber.on_answer(&ask.to, told("north", 0), ms(300)).expect("it is taken");
+    let poll_sent = subscriber.next_poll(ms(200)).expect("it polls");
+    subscriber.on_answer(&poll_sent.to, attached_answer("north", 0), ms(300)).expect("it is accepted");
     assert_eq!(subscriber.in_doubt_since(ms(300)), None);
-    // The span counts from when the poll was sent.
+    // The doubt timeout counts from when the poll was sent.
     assert_eq!(subscriber.in_doubt_since(ms(3199)), None);
     assert_eq!(subscriber.in_doubt_since(ms(3200)), Some(ms(200)));
 }
 
 #[test]
-fn a_dispatcher_falls_back_under_a_new_attachment_and_keeps_what_was_assured() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_poll(ms(0)).expect("it asks");
-    subscriber.on_answer(&ask.to, told("north", 7), ms(10)).expect("it is taken");
-    let second = subscriber.next_poll(ms(10)).expect("it asks");
+fn a_fallback_starts_a_new_attachment_and_keeps_the_doubt_timeout() {
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
+    let poll_sent = subscriber.next_poll(ms(0)).expect("it polls");
+    subscriber.on_answer(&poll_sent.to, attached_answer("north", 7), ms(10)).expect("it is accepted");
+    let second = subscriber.next_poll(ms(10)).expect("it polls");
     assert_eq!(
         (second.request.log.clone(), second.request.acknowledged),
         (Some("north-1".into()), Sequence(7))
     );
     subscriber.on_failure(&second.to, second.deadline);
-    let third = subscriber.next_poll(second.deadline).expect("it asks the other one at once");
+    let third = subscriber.next_poll(second.deadline).expect("it polls the other replica immediately");
     assert_eq!(third.to, "south".into());
     assert_eq!((third.request.log.clone(), third.request.since), (None, Sequence(0)));
     let Poller::Dispatcher { attachment, .. } = third.request.poller else { panic!("a dispatcher polls") };
@@ -696,38 +712,38 @@
 }
 
 #[test]
-fn one_connection_that_breaks_is_tried_again_before_falling_back() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_poll(ms(0)).expect("it asks");
-    subscriber.on_failure(&ask.to, ms(1));
-    assert!(subscriber.next_poll(ms(2)).is_none(), "not at once");
-    assert_eq!(subscriber.next_poll(ms(500)).expect("it asks again").to, "north".into());
-    subscriber.on_failure(&ask.to, ms(501));
+fn a_single_connection_failure_is_retried_before_falling_back() {
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
+    let poll_sent = subscriber.next_poll(ms(0)).expect("it polls");
+    subscriber.on_failure(&poll_sent.to, ms(1));
+    assert!(subscriber.next_poll(ms(2)).is_none(), "not immediately");
+    assert_eq!(subscriber.next_poll(ms(500)).expect("it polls again").to, "north".into());
+    subscriber.on_failure(&poll_sent.to, ms(501));
     assert_eq!(subscriber.next_poll(ms(501)).expect("it falls back").to, "south".into());
 }
 
 #[test]
 fn a_dispatcher_falls_back_from_a_replica_in_its_start_up_hold() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_poll(ms(0)).expect("it asks");
-    let held = r#"{"log":"north-2","seq":0,"standing":"starting","results":[]}"#;
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
+    let poll_sent = subscriber.next_poll(ms(0)).expect("it polls");
+    let starting_answer = r#"{"log":"north-2","seq":0,"standing":"starting","results":[]}"#;
     subscriber
-        .on_answer(&ask.to, PollAnswer::from_json(held).expect("an answer"), ms(1))
-        .expect("it is taken");
-    assert_eq!(subscriber.next_poll(ms(1)).expect("it asks").to, "south".into());
+        .on_answer(&poll_sent.to, PollAnswer::from_json(starting_answer).expect("a valid answer"), ms(1))
+        .expect("it is accepted");
+    assert_eq!(subscriber.next_poll(ms(1)).expect("it polls").to, "south".into());
 }
 
-/// When a dispatcher with this seed goes back to its primary, which answers all the time.
+/// When a dispatcher with this seed returns to its primary, which answers all probes.
 fn returned_at(seed: u64) -> Duration {
     let config = SubscriberConfig { seed, ..subscriber_config() };
-    let mut subscriber = Subscriber::new(config, ms(0)).expect("a good configuration");
-    let ask = subscriber.next_poll(ms(0)).expect("it asks");
-    subscriber.on_failure(&ask.to, ask.deadline);
-    let mut now = ask.deadline;
+    let mut subscriber = Subscriber::new(config, ms(0)).expect("a valid configuration");
+    let poll_sent = subscriber.next_poll(ms(0)).expect("it polls");
+    subscriber.on_failure(&poll_sent.to, poll_sent.deadline);
+    let mut now = poll_sent.deadline;
     while subscriber.counters().returns == 0 {
-        let asks: Vec<SubscriberPoll> = std::iter::from_fn(|| subscriber.next_poll(now)).collect();
-        for SubscriberPoll { to, .. } in asks {
-            subscriber.on_answer(&to, told(&to.0, 0), now).expect("it is taken");
+        let polls_sent: Vec<SubscriberPoll> = std::iter::from_fn(|| subscriber.next_poll(now)).collect();
+        for SubscriberPoll { to, .. } in polls_sent {
+            subscriber.on_answer(&to, attached_answer(&to.0, 0), now).expect("it is accepted");
         }
         now += ms(50);
     }
@@ -735,9 +751,9 @@
 }
 
 #[test]
-fn a_fleet_goes_back_to_its_primary_one_after_the_other() {
+fn dispatchers_return_to_their_primary_at_different_times() {
     let mut returned: Vec<Duration> = (0..20).map(returned_at).collect();
-    assert_eq!(returned_at(3), returned[3], "the same seed does the same");
+    assert_eq!(returned_at(3), returned[3], "the same seed gives the same time");
     returned.sort_unstable();
     let (first, last) = (returned[0], returned[19]);
     assert!(first >= ms(11_500) && last < ms(36_000), "{first:?} {last:?}");
@@ -745,16 +761,19 @@
 }
 
 #[test]
-fn a_dispatcher_that_was_superseded_attaches_anew() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_poll(ms(0)).expect("it asks");
-    let over = r#"{"log":"north-1","seq":0,"superseded":true,"results":[]}"#;
+fn a_superseded_dispatcher_attaches_again() {
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
+    let poll_sent = subscriber.next_poll(ms(0)).expect("it polls");
+    let superseded = r#"{"log":"north-1","seq":0,"superseded":true,"results":[]}"#;
     subscriber
-        .on_answer(&ask.to, PollAnswer::from_json(over).expect("an answer"), ms(1))
-        .expect("it is taken");
-    assert!(subscriber.next_poll(ms(1)).is_none(), "not at once: two of one name would go round");
+        .on_answer(&poll_sent.to, PollAnswer::from_json(superseded).expect("a valid answer"), ms(1))
+        .expect("it is accepted");
+    assert!(
+        subscriber.next_poll(ms(1)).is_none(),
+        "not immediately, or two dispatchers with the same name would supersede each other without end"
+    );
     let Poller::Dispatcher { attachment, .. } =
-        subscriber.next_poll(ms(300)).expect("it asks").request.poller
+        subscriber.next_poll(ms(300)).expect("it polls").request.poller
     else {
         panic!("a dispatcher polls");
     };
@@ -762,49 +781,51 @@
 }
 
 #[test]
-fn an_event_that_is_older_than_what_is_known_changes_nothing() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let bring = |subscriber: &mut Subscriber, seq: u64, unix_ms: u64, now: u64| {
-        let ask = subscriber.next_poll(ms(now)).expect("it asks");
-        let mut answer = told("north", seq);
+fn an_event_older_than_the_known_one_changes_nothing() {
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
+    let answer_with_purge = |subscriber: &mut Subscriber, seq: u64, unix_ms: u64, now: u64| {
+        let poll_sent = subscriber.next_poll(ms(now)).expect("it polls");
+        let mut answer = attached_answer("north", seq);
         answer.results = vec![Event { seq: Sequence(seq), record: purge(1, unix_ms) }];
-        subscriber.on_answer(&ask.to, answer, ms(now)).expect("it is taken")
+        subscriber.on_answer(&poll_sent.to, answer, ms(now)).expect("it is accepted")
     };
-    assert_eq!(bring(&mut subscriber, 1, START_MS + 5, 1).records.len(), 1);
-    assert_eq!(bring(&mut subscriber, 2, START_MS + 4, 2).records, []);
-    assert_eq!(bring(&mut subscriber, 3, START_MS + 5, 3).ignored, 1);
-    assert_eq!(bring(&mut subscriber, 4, START_MS + 6, 4).records.len(), 1);
+    assert_eq!(answer_with_purge(&mut subscriber, 1, START_MS + 5, 1).records.len(), 1);
+    assert_eq!(answer_with_purge(&mut subscriber, 2, START_MS + 4, 2).records, []);
+    assert_eq!(answer_with_purge(&mut subscriber, 3, START_MS + 5, 3).ignored, 1);
+    assert_eq!(answer_with_purge(&mut subscriber, 4, START_MS + 6, 4).records.len(), 1);
 }
 
 #[test]
-fn a_part_of_an_answer_is_not_acknowledged_as_whole() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.next_poll(ms(0)).expect("it asks");
-    subscriber.on_answer(&ask.to, PollAnswer { more: true, ..told("north", 5) }, ms(1)).expect("it is taken");
-    let request = subscriber.next_poll(ms(1)).expect("it asks").request;
+fn an_incomplete_answer_is_not_acknowledged() {
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
+    let poll_sent = subscriber.next_poll(ms(0)).expect("it polls");
+    subscriber
+        .on_answer(&poll_sent.to, PollAnswer { more: true, ..attached_answer("north", 5) }, ms(1))
+        .expect("it is accepted");
+    let request = subscriber.next_poll(ms(1)).expect("it polls").request;
     assert_eq!((request.since, request.acknowledged), (Sequence(5), Sequence(0)));
 }
 
 #[test]
-fn bad_answers_to_a_dispatcher_change_nothing() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
+fn invalid_answers_to_a_dispatcher_change_nothing() {
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
     let north = ReplicaName::from("north");
-    let refused = subscriber.on_answer(&north, told("north", 1), ms(0));
+    let refused = subscriber.on_answer(&north, attached_answer("north", 1), ms(0));
     assert_eq!(refused, Err(AnswerError::Unsolicited(north.clone())));
-    subscriber.next_poll(ms(0)).expect("it asks");
-    let refused = subscriber.on_answer(&"west".into(), told("west", 1), ms(0));
+    subscriber.next_poll(ms(0)).expect("it polls");
+    let refused = subscriber.on_answer(&"west".into(), attached_answer("west", 1), ms(0));
     assert_eq!(refused, Err(AnswerError::Unsolicited("west".into())));
-    let mut beyond = told("north", 1);
+    let mut beyond = attached_answer("north", 1);
     beyond.results = vec![Event { seq: Sequence(2), record: purge(1, START_MS) }];
     let refused = subscriber.on_answer(&north, beyond, ms(1));
     assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: north, event: Sequence(2) }));
-    assert!(subscriber.in_doubt_since(ms(1)).is_some(), "it said attached, and can't be trusted");
+    assert!(subscriber.in_doubt_since(ms(1)).is_some(), "the answer says attached and is invalid");
 }
 
 #[test]
-fn a_dispatcher_that_ends_says_so() {
-    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a good configuration");
-    let ask = subscriber.leave(ms(0));
-    assert!(ask.request.to_query().ends_with("&leaving=1"));
-    assert_eq!(PollRequest::from_query(&ask.request.to_query()), Ok(ask.request));
+fn the_last_poll_of_a_dispatcher_says_that_it_leaves() {
+    let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
+    let poll_sent = subscriber.leave(ms(0));
+    assert!(poll_sent.request.to_query().ends_with("&leaving=1"));
+    assert_eq!(PollRequest::from_query(&poll_sent.request.to_query()), Ok(poll_sent.request));
 }
--- a/crates/replication/tests/replication/simulation.rs
+++ b/crates/replication/tests/replication/simulation.rs
@@ -1,8 +1,8 @@
-//! A deterministic network in virtual time: replicas, dispatchers, faults, and an oracle that knows nothing of the
-//! core.
+//! A deterministic network in virtual time, with replicas, dispatchers, faults, and an oracle that is independent of
+//! the tested logic.
 //!
-//! The oracle compares what dispatchers have applied with what replicas claim. It reads no watermark, no report and no
-//! membership record.
+//! The oracle compares what dispatchers have applied with what replicas report as in force. It uses no watermark, no
+//! report and no member record.
 
 use fastrand::Rng;
 use myrtlegauge_replication::{
@@ -15,73 +15,74 @@
 
 /// Unix milliseconds at the start of virtual time.
 const UNIX_START_MS: u64 = 1_700_000_000_000;
-/// Between two looks of the oracle at everything.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Names that are purged: few, so that records move up in the logs all the time.
+/// The interval at which the oracle checks all replicas.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The number of purged groups. It is small, so that records move to new sequence numbers all the time.
 const GROUPS: u64 = 6;
-/// Bytes around a query: `GET /changes? HTTP/1.1` and a host.
-const REQUEST_HEAD: usize = 60;
-/// Bytes before a body: status, type and length.
-const ANSWER_HEAD: usize = 90;
-/// Clocks run this much too fast or too slow at most.
-const DRIFT_MOST: f64 = 0.01;
+/// The bytes of a request besides its query: `GET /changes? HTTP/1.1` and a host.
+const REQUEST_HEAD_BYTES: usize = 60;
+/// The bytes of an answer before its body: status, type and length.
+const ANSWER_HEAD_BYTES: usize = 90;
+/// The maximum relative error of the rate of a clock.
+const MAX_CLOCK_DRIFT: f64 = 0.01;
 
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// One of the machines.
+/// A simulated machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
     Replica(usize),
     Dispatcher(usize),
 }
 
-/// What is simulated.
+/// The settings of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting {
+pub struct SimulationSettings {
     pub seed: u64,
     pub replicas: usize,
     pub dispatchers: usize,
-    /// Faults come until then.
-    pub faults_until: Duration,
-    /// Mean span between two faults; none: no faults.
-    pub fault_every: Option<Duration>,
-    pub publish_every: Duration,
+    /// When the last fault may be injected.
+    pub faults_end: Duration,
+    /// The mean interval between two faults, or `None` for no faults.
+    pub fault_interval: Option<Duration>,
+    pub publish_interval: Duration,
     pub max_batch_records: usize,
     pub replica_defences: ReplicaDefences,
     pub subscriber_defences: SubscriberDefences,
-    /// Polls and answers travel as text.
-    pub through_text: bool,
-    /// The spans of the defaults; else a fifth of them.
-    pub full_spans: bool,
-    /// Between two looks of the oracle at everything; it also looks at each claim that is new if this is short.
-    pub look_every: Duration,
-    /// One way between two regions, in milliseconds.
-    pub far_ms: (u64, u64),
+    /// Whether polls and answers are serialized and parsed.
+    pub serialize_messages: bool,
+    /// Whether the default durations are used. Otherwise, about a fifth of them are.
+    pub use_default_durations: bool,
+    /// The interval at which the oracle checks all replicas. If it is not above `CHECK_INTERVAL`, the oracle also
+    /// checks a replica whenever its watermark rises.
+    pub check_interval: Duration,
+    /// The range of the one-way delay between two regions.
+    pub remote_delay_ms: (u64, u64),
 }
 
-impl Setting {
+impl SimulationSettings {
     pub fn new(seed: u64, replicas: usize, dispatchers: usize) -> Self {
         Self {
             seed,
             replicas,
             dispatchers,
-            faults_until: ms(20_000),
-            fault_every: Some(ms(400)),
-            publish_every: ms(150),
+            faults_end: ms(20_000),
+            fault_interval: Some(ms(400)),
+            publish_interval: ms(150),
             max_batch_records: 3,
             replica_defences: ReplicaDefences::default(),
             subscriber_defences: SubscriberDefences::default(),
-            through_text: seed.is_multiple_of(4),
-            full_spans: false,
-            look_every: LOOK_EVERY,
-            far_ms: (3, 25),
+            serialize_messages: seed.is_multiple_of(4),
+            use_default_durations: false,
+            check_interval: CHECK_INTERVAL,
+            remote_delay_ms: (3, 25),
         }
     }
 }
 
-/// A clock of a machine: its own origin, and a little too fast or slow.
+/// The clock of a machine. It has its own origin and runs slightly too fast or too slow.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
     origin: Duration,
@@ -89,84 +90,84 @@
 }
 
 impl Clock {
-    fn local(self, now: Duration) -> Duration {
+    fn to_local(self, now: Duration) -> Duration {
         self.origin + now.mul_f64(self.rate)
     }
 
-    fn global(self, local: Duration) -> Duration {
-        // Rounded up, so that what is due at a local time is due then.
+    fn to_global(self, local: Duration) -> Duration {
+        // Rounded up, so that the local deadline has passed at the returned time.
         local.saturating_sub(self.origin).div_f64(self.rate) + Duration::from_micros(1)
     }
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
-    Request { from: Node, from_life: u64, to: usize, connection: u64, request: PollRequest },
-    Answer { from: usize, to: Node, to_life: u64, connection: u64, answer: PollAnswer },
-    Failed { node: Node, life: u64, replica: usize, connection: u64 },
-    Wake { node: Node, life: u64, alarm: u64 },
+enum SimEvent {
+    Request { from: Node, from_generation: u64, to: usize, connection: u64, request: PollRequest },
+    Answer { from: usize, to: Node, to_generation: u64, connection: u64, answer: PollAnswer },
+    PollFailed { node: Node, generation: u64, replica: usize, connection: u64 },
+    Timer { node: Node, generation: u64, latest_timer: u64 },
     Fault,
     Publish,
-    Look,
+    CheckClaims,
     Start(Node),
-    Thaw(Node),
-    Heal(Vec<(usize, usize)>),
-    Loss(f64),
-    Slow(Duration),
+    Resume(Node),
+    RestoreLinks(Vec<(usize, usize)>),
+    SetLoss(f64),
+    SetExtraDelay(Duration),
 }
 
 struct Machine<T> {
-    core: Option<T>,
-    life: u64,
+    process: Option<T>,
+    generation: u64,
     frozen: bool,
-    mail: Vec<Happening>,
-    alarm: u64,
+    inbox: Vec<SimEvent>,
+    latest_timer: u64,
     clock: Clock,
-    /// The connection of the open poll of each replica.
-    asks: BTreeMap<usize, u64>,
+    /// The connection of the open poll to each replica.
+    open_polls: BTreeMap<usize, u64>,
 }
 
-struct ReplicaState {
+struct ReplicaProcess {
     replica: Replica,
     polls: BTreeMap<PollId, (Node, u64, u64)>,
-    claimed: Sequence,
+    last_watermark: Sequence,
 }
 
-struct DispatcherState {
+struct DispatcherProcess {
     subscriber: Subscriber,
     applied: BTreeMap<RecordName, Record>,
 }
 
-/// Bytes of polls and answers, by who polls.
+/// The bytes of polls and answers, by the kind of poller.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Bytes {
-    pub of_dispatchers: u64,
-    pub of_replicas: u64,
+pub struct SentBytes {
+    pub dispatcher_bytes: u64,
+    pub replica_bytes: u64,
 }
 
-impl Bytes {
+impl SentBytes {
     fn add(&mut self, poller: Node, bytes: usize) {
         match poller {
-            Node::Replica(_) => self.of_replicas += bytes as u64,
-            Node::Dispatcher(_) => self.of_dispatchers += bytes as u64,
+            Node::Replica(_) => self.replica_bytes += bytes as u64,
+            Node::Dispatcher(_) => self.dispatcher_bytes += bytes as u64,
         }
     }
 }
 
 pub struct Simulation {
-    /// Counted where polls and answers travel as text.
-    pub bytes: Bytes,
+    /// Answers are counted only if `serialize_messages` is set.
+    pub bytes: SentBytes,
     pub now: Duration,
-    setting: Setting,
-    chance: Rng,
-    queue: BTreeMap<(Duration, u64), Happening>,
-    serial: u64,
-    replicas: Vec<Machine<ReplicaState>>,
-    dispatchers: Vec<Machine<DispatcherState>>,
-    /// Regions (by the number of their replica) that don't hear each other, one way.
-    cuts: BTreeMap<(usize, usize), u32>,
-    loss: f64,
-    slow: Duration,
+    settings: SimulationSettings,
+    rng: Rng,
+    queue: BTreeMap<(Duration, u64), SimEvent>,
+    last_id: u64,
+    replicas: Vec<Machine<ReplicaProcess>>,
+    dispatchers: Vec<Machine<DispatcherProcess>>,
+    /// How many faults cut each one-way link between two regions. A region has the index of its replica.
+    cut_counts: BTreeMap<(usize, usize), u32>,
+    loss_probability: f64,
+    max_extra_delay: Duration,
     pub published: BTreeMap<RecordName, Record>,
     pub violations: Vec<String>,
     pub claims_checked: u64,
@@ -179,93 +180,94 @@
 }
 
 fn replica_index(name: &ReplicaName) -> usize {
-    name.0[1..].parse().expect("a replica of the simulation")
+    name.0[1..].parse().expect("the name of a simulated replica")
 }
 
 impl Simulation {
-    pub fn new(setting: Setting) -> Self {
-        let mut chance = Rng::with_seed(setting.seed);
+    pub fn new(settings: SimulationSettings) -> Self {
+        let mut rng = Rng::with_seed(settings.seed);
         let mut clock = || Clock {
-            origin: ms(chance.u64(0..100_000)),
-            rate: 1.0 + (chance.f64() * 2.0 - 1.0) * DRIFT_MOST,
+            origin: ms(rng.u64(0..100_000)),
+            rate: 1.0 + (rng.f64() * 2.0 - 1.0) * MAX_CLOCK_DRIFT,
         };
-        let replicas = (0..setting.replicas).map(|_| Machine::new(clock())).collect();
-        let dispatchers = (0..setting.dispatchers).map(|_| Machine::new(clock())).collect();
+        let replicas = (0..settings.replicas).map(|_| Machine::new(clock())).collect();
+        let dispatchers = (0..settings.dispatchers).map(|_| Machine::new(clock())).collect();
         let mut simulation = Self {
-            bytes: Bytes::default(),
+            bytes: SentBytes::default(),
             now: ms(1),
-            setting,
-            chance,
+            settings,
+            rng,
             queue: BTreeMap::new(),
-            serial: 0,
+            last_id: 0,
             replicas,
             dispatchers,
-            cuts: BTreeMap::new(),
-            loss: 0.0,
-            slow: Duration::ZERO,
+            cut_counts: BTreeMap::new(),
+            loss_probability: 0.0,
+            max_extra_delay: Duration::ZERO,
             published: BTreeMap::new(),
             violations: Vec::new(),
             claims_checked: 0,
             faults: 0,
             stop_publishing: false,
         };
-        for index in 0..setting.replicas {
-            simulation.after(Duration::ZERO, Happening::Start(Node::Replica(index)));
+        for index in 0..settings.replicas {
+            simulation.schedule(Duration::ZERO, SimEvent::Start(Node::Replica(index)));
         }
-        for index in 0..setting.dispatchers {
-            let at = ms(simulation.chance.u64(0..3000));
-            simulation.after(at, Happening::Start(Node::Dispatcher(index)));
+        for index in 0..settings.dispatchers {
+            let at = ms(simulation.rng.u64(0..3000));
+            simulation.schedule(at, SimEvent::Start(Node::Dispatcher(index)));
         }
-        simulation.after(ms(1500), Happening::Publish);
-        simulation.after(setting.look_every, Happening::Look);
-        if setting.fault_every.is_some() {
-            simulation.after(ms(2500), Happening::Fault);
+        simulation.schedule(ms(1500), SimEvent::Publish);
+        simulation.schedule(settings.check_interval, SimEvent::CheckClaims);
+        if settings.fault_interval.is_some() {
+            simulation.schedule(ms(2500), SimEvent::Fault);
         }
         simulation
     }
 
-    /// Runs to a moment, or to the first violation.
+    /// Runs up to a time, or up to the first violation.
     pub fn run_until(&mut self, until: Duration) {
         while self.violations.is_empty()
             && let Some(entry) = self.queue.first_entry()
             && entry.key().0 <= until
         {
-            let ((at, _), happening) = entry.remove_entry();
+            let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.take(happening);
+            self.handle(event);
         }
         self.now = self.now.max(until);
     }
 
-    /// Ends all faults: what was killed starts, what is frozen runs, what is cut is joined.
-    pub fn heal(&mut self) {
-        self.setting.fault_every = None;
-        self.cuts.clear();
-        self.loss = 0.0;
-        self.slow = Duration::ZERO;
+    /// Ends all faults: starts killed replicas, resumes frozen machines, and restores all links.
+    pub fn end_faults(&mut self) {
+        self.settings.fault_interval = None;
+        self.cut_counts.clear();
+        self.loss_probability = 0.0;
+        self.max_extra_delay = Duration::ZERO;
         for index in 0..self.replicas.len() {
-            self.thaw(Node::Replica(index));
+            self.resume(Node::Replica(index));
             self.start(Node::Replica(index));
         }
         for index in 0..self.dispatchers.len() {
-            self.thaw(Node::Dispatcher(index));
+            self.resume(Node::Dispatcher(index));
         }
     }
 
-    /// Publishes again what no replica knows, as a publisher does that was not told that it is in force.
-    pub fn publish_lost(&mut self) {
+    /// Publishes all records again, among them those that no replica knows any more, like a publisher that was not
+    /// notified that they are in force.
+    pub fn republish_all(&mut self) {
         self.stop_publishing = true;
         for record in self.published.values().cloned().collect::<Vec<_>>() {
             self.publish_at(0, record);
         }
     }
 
-    /// What is not in force at some replica.
+    /// The records that are not in force by the verdict of some replica.
     pub fn not_in_force(&mut self) -> Vec<String> {
         let mut missing = Vec::new();
         for (index, machine) in self.replicas.iter_mut().enumerate() {
-            let now = machine.clock.local(self.now);
-            let Some(state) = &mut machine.core else {
+            let now = machine.clock.to_local(self.now);
+            let Some(state) = &mut machine.process else {
                 missing.push(format!("r{index} does not run"));
                 continue;
             };
@@ -279,46 +281,46 @@
         missing
     }
 
-    /// Dispatchers that run and are in doubt, or lack a record.
-    pub fn lacking(&self) -> Vec<String> {
-        let mut lacking = Vec::new();
+    /// The running dispatchers that are in doubt or lack a record.
+    pub fn missing_at_dispatchers(&self) -> Vec<String> {
+        let mut missing_at_dispatchers = Vec::new();
         for (index, machine) in self.dispatchers.iter().enumerate() {
-            let Some(state) = &machine.core else {
+            let Some(state) = &machine.process else {
                 continue;
             };
-            if let Some(since) = state.subscriber.in_doubt_since(machine.clock.local(self.now)) {
-                lacking.push(format!("d{index} in doubt since {since:?}"));
+            if let Some(since) = state.subscriber.in_doubt_since(machine.clock.to_local(self.now)) {
+                missing_at_dispatchers.push(format!("d{index} in doubt since {since:?}"));
             }
             for (name, record) in &self.published {
                 if state.applied.get(name).is_none_or(|applied| applied.cmp_precedence(record).is_lt()) {
-                    lacking.push(format!("d{index} lacks {name:?}"));
+                    missing_at_dispatchers.push(format!("d{index} lacks {name:?}"));
                 }
             }
         }
-        lacking
+        missing_at_dispatchers
     }
 
     pub fn verdict(&mut self, replica: usize, name: &RecordName) -> Verdict {
         let machine = &mut self.replicas[replica];
-        let now = machine.clock.local(self.now);
-        machine.core.as_mut().map_or(Verdict::Unknown, |state| state.replica.in_force(name, now))
+        let now = machine.clock.to_local(self.now);
+        machine.process.as_mut().map_or(Verdict::Unknown, |state| state.replica.in_force(name, now))
     }
 
     pub fn replica(&self, index: usize) -> &Replica {
-        &self.replicas[index].core.as_ref().expect("the replica runs").replica
+        &self.replicas[index].process.as_ref().expect("the replica runs").replica
     }
 
     pub fn subscriber(&self, index: usize) -> &Subscriber {
-        &self.dispatchers[index].core.as_ref().expect("the dispatcher runs").subscriber
+        &self.dispatchers[index].process.as_ref().expect("the dispatcher runs").subscriber
     }
 
-    pub fn in_doubt_since(&self, index: usize) -> bool {
-        let now = self.dispatchers[index].clock.local(self.now);
+    pub fn is_in_doubt(&self, index: usize) -> bool {
+        let now = self.dispatchers[index].clock.to_local(self.now);
         self.subscriber(index).in_doubt_since(now).is_some()
     }
 
-    pub fn applied(&self, index: usize, record: &Record) -> bool {
-        let state = self.dispatchers[index].core.as_ref().expect("the dispatcher runs");
+    pub fn has_applied(&self, index: usize, record: &Record) -> bool {
+        let state = self.dispatchers[index].process.as_ref().expect("the dispatcher runs");
         state.applied.get(&record.name()).is_some_and(|applied| applied.cmp_precedence(record).is_ge())
     }
 
@@ -340,36 +342,36 @@
         }
     }
 
-    pub fn thaw(&mut self, node: Node) {
-        let (frozen, mut mail) = match node {
-            Node::Replica(index) => self.replicas[index].wake(),
-            Node::Dispatcher(index) => self.dispatchers[index].wake(),
+    pub fn resume(&mut self, node: Node) {
+        let (frozen, mut inbox) = match node {
+            Node::Replica(index) => self.replicas[index].resume(),
+            Node::Dispatcher(index) => self.dispatchers[index].resume(),
         };
         if !frozen {
             return;
         }
-        // Timers or messages, whichever the machine looks at first.
-        if self.chance.bool() {
-            self.drive(node);
+        // Whether timers or messages are handled first is random.
+        if self.rng.bool() {
+            self.run_node(node);
         }
-        if self.chance.bool() {
-            self.chance.shuffle(&mut mail);
+        if self.rng.bool() {
+            self.rng.shuffle(&mut inbox);
         }
-        for happening in mail {
-            self.take(happening);
+        for event in inbox {
+            self.handle(event);
         }
-        self.drive(node);
+        self.run_node(node);
     }
 
-    pub fn cut(&mut self, ways: &[(usize, usize)]) {
-        for way in ways {
-            *self.cuts.entry(*way).or_default() += 1;
+    pub fn cut_links(&mut self, links: &[(usize, usize)]) {
+        for link in links {
+            *self.cut_counts.entry(*link).or_default() += 1;
         }
     }
 
-    pub fn join(&mut self, ways: &[(usize, usize)]) {
-        for way in ways {
-            if let Some(count) = self.cuts.get_mut(way) {
+    pub fn restore_links(&mut self, links: &[(usize, usize)]) {
+        for link in links {
+            if let Some(count) = self.cut_counts.get_mut(link) {
                 *count = count.saturating_sub(1);
             }
         }
@@ -377,8 +379,8 @@
 
     pub fn publish_at(&mut self, replica: usize, record: Record) -> bool {
         let machine = &mut self.replicas[replica];
-        let now = machine.clock.local(self.now);
-        let Some(state) = machine.core.as_mut().filter(|_| !machine.frozen) else {
+        let now = machine.clock.to_local(self.now);
+        let Some(state) = machine.process.as_mut().filter(|_| !machine.frozen) else {
             return false;
         };
         if state.replica.publish(record.clone(), now).is_err() {
@@ -388,30 +390,30 @@
         if known.is_none_or(|known| record.cmp_precedence(known).is_gt()) {
             self.published.insert(record.name(), record);
         }
-        self.drive(Node::Replica(replica));
+        self.run_node(Node::Replica(replica));
         true
     }
 
     pub fn start(&mut self, node: Node) {
         match node {
-            Node::Replica(index) if self.replicas[index].core.is_none() => {
+            Node::Replica(index) if self.replicas[index].process.is_none() => {
                 let state = self.new_replica(index);
                 self.replicas[index].start(state);
             }
-            Node::Dispatcher(index) if self.dispatchers[index].core.is_none() => {
+            Node::Dispatcher(index) if self.dispatchers[index].process.is_none() => {
                 let state = self.new_dispatcher(index);
                 self.dispatchers[index].start(state);
             }
             _ => return,
         }
-        self.drive(node);
+        self.run_node(node);
     }
 
-    fn new_replica(&self, index: usize) -> ReplicaState {
-        let peers = (0..self.setting.replicas).filter(|peer| *peer != index).map(replica_name).collect();
+    fn new_replica(&self, index: usize) -> ReplicaProcess {
+        let peers = (0..self.settings.replicas).filter(|peer| *peer != index).map(replica_name).collect();
         let mut config = ReplicaConfig::new(replica_name(index), peers, Incarnation(self.unix_ms()));
-        config.max_batch_records = self.setting.max_batch_records;
-        if !self.setting.full_spans {
+        config.max_batch_records = self.settings.max_batch_records;
+        if !self.settings.use_default_durations {
             config.batch_interval = ms(20);
             config.peer_timeout = ms(200);
             config.peer_timeout_margin = ms(150);
@@ -421,19 +423,19 @@
             config.quorum_window = ms(600);
             config.start_up_hold = ms(1000);
         }
-        config.defences = self.setting.replica_defences;
-        let now = self.replicas[index].clock.local(self.now);
-        let replica = Replica::new(config, now).expect("a good configuration");
-        ReplicaState { replica, polls: BTreeMap::new(), claimed: Sequence(0) }
+        config.defences = self.settings.replica_defences;
+        let now = self.replicas[index].clock.to_local(self.now);
+        let replica = Replica::new(config, now).expect("a valid configuration");
+        ReplicaProcess { replica, polls: BTreeMap::new(), last_watermark: Sequence(0) }
     }
 
-    fn new_dispatcher(&mut self, index: usize) -> DispatcherState {
-        let replicas = self.setting.replicas;
+    fn new_dispatcher(&mut self, index: usize) -> DispatcherProcess {
+        let replicas = self.settings.replicas;
         let fallback = (replicas > 1).then(|| replica_name((index + 1) % replicas));
         let name = format!("d{index}").as_str().into();
         let primary = replica_name(index % replicas);
         let mut config = SubscriberConfig::new(name, Incarnation(self.unix_ms()), primary, fallback);
-        if !self.setting.full_spans {
+        if !self.settings.use_default_durations {
             config.poll_timeout = ms(200);
             config.poll_timeout_margin = ms(100);
             config.retry_delay = ms(40);
@@ -443,76 +445,81 @@
             config.return_after = ms(1000);
             config.return_jitter = ms(2000);
         }
-        config.seed = self.chance.u64(..);
-        config.defences = self.setting.subscriber_defences;
-        let now = self.dispatchers[index].clock.local(self.now);
-        let subscriber = Subscriber::new(config, now).expect("a good configuration");
-        DispatcherState { subscriber, applied: BTreeMap::new() }
+        config.seed = self.rng.u64(..);
+        config.defences = self.settings.subscriber_defences;
+        let now = self.dispatchers[index].clock.to_local(self.now);
+        let subscriber = Subscriber::new(config, now).expect("a valid configuration");
+        DispatcherProcess { subscriber, applied: BTreeMap::new() }
     }
 
-    fn after(&mut self, span: Duration, happening: Happening) {
-        self.serial += 1;
-        self.queue.insert((self.now + span, self.serial), happening);
+    fn schedule(&mut self, delay: Duration, event: SimEvent) {
+        self.last_id += 1;
+        self.queue.insert((self.now + delay, self.last_id), event);
     }
 
     fn region(&self, node: Node) -> usize {
         match node {
             Node::Replica(index) => index,
-            Node::Dispatcher(index) => index % self.setting.replicas,
+            Node::Dispatcher(index) => index % self.settings.replicas,
         }
     }
 
-    /// Sends a message, which may be lost, or late.
-    fn send(&mut self, from: Node, to: Node, happening: Happening) {
-        let way = (self.region(from), self.region(to));
-        if self.cuts.get(&way).is_some_and(|count| *count > 0) || self.chance.f64() < self.loss {
+    /// Sends a message, which may be lost or delayed.
+    fn send(&mut self, from: Node, to: Node, event: SimEvent) {
+        let link = (self.region(from), self.region(to));
+        if self.cut_counts.get(&link).is_some_and(|count| *count > 0)
+            || self.rng.f64() < self.loss_probability
+        {
             return;
         }
-        let near = way.0 == way.1;
-        let mut delay =
-            if near { ms(1) } else { ms(self.chance.u64(self.setting.far_ms.0..self.setting.far_ms.1)) };
-        if self.slow > Duration::ZERO && self.chance.u32(0..4) == 0 {
-            delay += self.slow.mul_f64(self.chance.f64());
+        let is_local = link.0 == link.1;
+        let mut delay = if is_local {
+            ms(1)
+        } else {
+            ms(self.rng.u64(self.settings.remote_delay_ms.0..self.settings.remote_delay_ms.1))
+        };
+        if self.max_extra_delay > Duration::ZERO && self.rng.u32(0..4) == 0 {
+            delay += self.max_extra_delay.mul_f64(self.rng.f64());
         }
-        self.after(delay, happening);
+        self.schedule(delay, event);
     }
 
-    fn take(&mut self, happening: Happening) {
-        match happening {
-            Happening::Request { to, .. } => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Request { to, .. } => {
                 if self.replicas[to].frozen {
-                    return self.replicas[to].mail.push(happening);
+                    return self.replicas[to].inbox.push(event);
                 }
-                self.take_request(happening);
+                self.on_request(event);
             }
-            Happening::Answer { to, .. } => {
+            SimEvent::Answer { to, .. } => {
                 if self.is_frozen(to) {
-                    return self.keep_mail(to, happening);
+                    return self.defer(to, event);
                 }
-                self.take_answer(happening);
+                self.on_answer(event);
             }
-            Happening::Failed { node, life, replica, connection } => {
+            SimEvent::PollFailed { node, generation, replica, connection } => {
                 if self.is_frozen(node) {
-                    return self.keep_mail(node, happening);
+                    return self.defer(node, event);
                 }
-                self.take_failure(node, life, replica, connection);
+                self.on_poll_failure(node, generation, replica, connection);
             }
-            Happening::Wake { node, life, alarm } => {
-                if self.life(node) == life && *self.alarm(node) == alarm {
-                    self.drive(node);
+            SimEvent::Timer { node, generation, latest_timer } => {
+                if self.generation(node) == generation && *self.latest_timer(node) == latest_timer {
+                    self.run_node(node);
                 }
             }
-            Happening::Fault => self.fault(),
-            Happening::Publish => self.publish(),
-            Happening::Look => {
-                self.look_at_all();
-                self.after(self.setting.look_every, Happening::Look);
+            SimEvent::Fault => self.inject_fault(),
+            SimEvent::Publish => self.publish(),
+            SimEvent::CheckClaims => {
+                self.check_all_claims();
+                self.schedule(self.settings.check_interval, SimEvent::CheckClaims);
             }
-            Happening::Start(node) => self.start(node),
-            Happening::Thaw(node) => self.thaw(node),
-            Happening::Heal(ways) => self.join(&ways),
-            Happening::Loss(loss) => self.loss = loss,
-            Happening::Slow(slow) => self.slow = slow,
+            SimEvent::Start(node) => self.start(node),
+            SimEvent::Resume(node) => self.resume(node),
+            SimEvent::RestoreLinks(links) => self.restore_links(&links),
+            SimEvent::SetLoss(loss_probability) => self.loss_probability = loss_probability,
+            SimEvent::SetExtraDelay(max_extra_delay) => self.max_extra_delay = max_extra_delay,
         }
     }
 
@@ -523,223 +530,229 @@
         }
     }
 
-    fn keep_mail(&mut self, node: Node, happening: Happening) {
+    fn defer(&mut self, node: Node, event: SimEvent) {
         match node {
-            Node::Replica(index) => self.replicas[index].mail.push(happening),
-            Node::Dispatcher(index) => self.dispatchers[index].mail.push(happening),
+            Node::Replica(index) => self.replicas[index].inbox.push(event),
+            Node::Dispatcher(index) => self.dispatchers[index].inbox.push(event),
         }
     }
 
-    fn life(&self, node: Node) -> u64 {
+    fn generation(&self, node: Node) -> u64 {
         match node {
-            Node::Replica(index) => self.replicas[index].life,
-            Node::Dispatcher(index) => self.dispatchers[index].life,
+            Node::Replica(index) => self.replicas[index].generation,
+            Node::Dispatcher(index) => self.dispatchers[index].generation,
         }
     }
 
-    fn take_request(&mut self, happening: Happening) {
-        let Happening::Request { from, from_life, to, connection, request } = happening else {
+    fn on_request(&mut self, event: SimEvent) {
+        let SimEvent::Request { from, from_generation, to, connection, request } = event else {
             return;
         };
         let machine = &mut self.replicas[to];
-        let now = machine.clock.local(self.now);
-        let Some(state) = &mut machine.core else {
-            // Refused by the machine.
-            let failed = Happening::Failed { node: from, life: from_life, replica: to, connection };
+        let now = machine.clock.to_local(self.now);
+        let Some(state) = &mut machine.process else {
+            // The machine refuses the connection, because the process does not run.
+            let failed =
+                SimEvent::PollFailed { node: from, generation: from_generation, replica: to, connection };
             return self.send(Node::Replica(to), from, failed);
         };
         let id = PollId(connection);
-        state.polls.insert(id, (from, from_life, connection));
+        state.polls.insert(id, (from, from_generation, connection));
         match state.replica.poll(id, request, now) {
             Ok(()) => {}
             Err(error) if error.is_answered() => {}
-            Err(error) => panic!("a poll was refused: {error}"),
+            Err(error) => panic!("poll rejected: {error}"),
         }
-        self.drive(Node::Replica(to));
+        self.run_node(Node::Replica(to));
     }
 
-    fn take_answer(&mut self, happening: Happening) {
-        let Happening::Answer { from, to, to_life, connection, answer } = happening else {
+    fn on_answer(&mut self, event: SimEvent) {
+        let SimEvent::Answer { from, to, to_generation, connection, answer } = event else {
             return;
         };
         let name = replica_name(from);
         match to {
             Node::Replica(index) => {
                 let machine = &mut self.replicas[index];
-                if !machine.is_open(to_life, from, connection) {
+                if !machine.close_poll(to_generation, from, connection) {
                     return;
                 }
-                let now = machine.clock.local(self.now);
-                let state = machine.core.as_mut().expect("a life that runs");
+                let now = machine.clock.to_local(self.now);
+                let state = machine.process.as_mut().expect("the process runs");
                 match state.replica.on_peer_answer(&name, answer, now) {
-                    // It was given up at once after a freeze.
+                    // The poll timed out when the machine resumed after a freeze.
                     Ok(()) | Err(AnswerError::Unsolicited(_)) => {}
-                    Err(error) => panic!("an answer was refused: {error}"),
+                    Err(error) => panic!("answer rejected: {error}"),
                 }
             }
             Node::Dispatcher(index) => {
                 let machine = &mut self.dispatchers[index];
-                if !machine.is_open(to_life, from, connection) {
+                if !machine.close_poll(to_generation, from, connection) {
                     return;
                 }
-                let now = machine.clock.local(self.now);
-                let state = machine.core.as_mut().expect("a life that runs");
+                let now = machine.clock.to_local(self.now);
+                let state = machine.process.as_mut().expect("the process runs");
                 match state.subscriber.on_answer(&name, answer, now) {
-                    Ok(taken) => {
-                        state.applied.extend(taken.records.into_iter().map(|record| (record.name(), record)));
+                    Ok(accepted) => {
+                        state
+                            .applied
+                            .extend(accepted.records.into_iter().map(|record| (record.name(), record)));
                     }
-                    // The choice has changed since.
+                    // The dispatcher has switched replicas since.
                     Err(AnswerError::Unsolicited(_)) => {}
-                    Err(error) => panic!("an answer was refused: {error}"),
+                    Err(error) => panic!("answer rejected: {error}"),
                 }
             }
         }
-        self.drive(to);
+        self.run_node(to);
     }
 
-    fn take_failure(&mut self, node: Node, life: u64, replica: usize, connection: u64) {
+    fn on_poll_failure(&mut self, node: Node, generation: u64, replica: usize, connection: u64) {
         let name = replica_name(replica);
         match node {
             Node::Replica(index) => {
                 let machine = &mut self.replicas[index];
-                if machine.is_open(life, replica, connection) {
-                    let now = machine.clock.local(self.now);
-                    machine.core.as_mut().expect("a life that runs").replica.on_peer_failure(&name, now);
+                if machine.close_poll(generation, replica, connection) {
+                    let now = machine.clock.to_local(self.now);
+                    machine.process.as_mut().expect("the process runs").replica.on_peer_failure(&name, now);
                 }
             }
             Node::Dispatcher(index) => {
                 let machine = &mut self.dispatchers[index];
-                if machine.is_open(life, replica, connection) {
-                    let now = machine.clock.local(self.now);
-                    machine.core.as_mut().expect("a life that runs").subscriber.on_failure(&name, now);
+                if machine.close_poll(generation, replica, connection) {
+                    let now = machine.clock.to_local(self.now);
+                    machine.process.as_mut().expect("the process runs").subscriber.on_failure(&name, now);
                 }
             }
         }
-        self.drive(node);
+        self.run_node(node);
     }
 
-    /// Lets a machine do what it has to do now, and sets its alarm.
-    fn drive(&mut self, node: Node) {
+    /// Lets a machine do all work that is due now, and sets its timer.
+    fn run_node(&mut self, node: Node) {
         if self.is_frozen(node) {
             return;
         }
         match node {
-            Node::Replica(index) => self.drive_replica(index),
-            Node::Dispatcher(index) => self.drive_dispatcher(index),
+            Node::Replica(index) => self.run_replica(index),
+            Node::Dispatcher(index) => self.run_dispatcher(index),
         }
     }
 
-    fn drive_replica(&mut self, index: usize) {
+    fn run_replica(&mut self, index: usize) {
         let machine = &mut self.replicas[index];
-        let (clock, life) = (machine.clock, machine.life);
-        let now = clock.local(self.now);
-        let Some(state) = &mut machine.core else {
+        let (clock, generation) = (machine.clock, machine.generation);
+        let now = clock.to_local(self.now);
+        let Some(state) = &mut machine.process else {
             return;
         };
         state.replica.tick(now);
         let mut answers = Vec::new();
         while let Some((id, answer)) = state.replica.next_answer(now) {
-            let (to, to_life, connection) = state.polls.remove(&id).expect("a poll that came");
-            answers.push((to, Happening::Answer { from: index, to, to_life, connection, answer }));
+            let (to, to_generation, connection) =
+                state.polls.remove(&id).expect("an answer has a received poll");
+            answers.push((to, SimEvent::Answer { from: index, to, to_generation, connection, answer }));
         }
-        let mut asks = Vec::new();
-        while let Some(ask) = state.replica.next_poll(now) {
-            asks.push((ask.to, ask.request, ask.deadline));
+        let mut polls = Vec::new();
+        while let Some(poll) = state.replica.next_poll(now) {
+            polls.push((poll.to, poll.request, poll.deadline));
         }
         let next = state.replica.next_wakeup();
         let watermark = state.replica.fleet_watermark(now);
-        let rose = watermark > state.claimed;
-        state.claimed = watermark;
+        let has_risen = watermark > state.last_watermark;
+        state.last_watermark = watermark;
         for (to, answer) in answers {
-            let answer = self.as_text(answer);
+            let answer = self.serialize_answer(answer);
             self.send(Node::Replica(index), to, answer);
         }
-        for (to, request, deadline) in asks {
-            self.ask(Node::Replica(index), life, clock, &to, request, deadline);
+        for (to, request, deadline) in polls {
+            self.send_poll(Node::Replica(index), generation, clock, &to, request, deadline);
         }
         if let Some(at) = next {
-            self.set_alarm(Node::Replica(index), life, clock.global(at));
+            self.set_timer(Node::Replica(index), generation, clock.to_global(at));
         }
-        if rose && self.setting.look_every <= LOOK_EVERY {
-            self.look_at(index);
+        if has_risen && self.settings.check_interval <= CHECK_INTERVAL {
+            self.check_claims(index);
         }
     }
 
-    fn drive_dispatcher(&mut self, index: usize) {
+    fn run_dispatcher(&mut self, index: usize) {
         let machine = &mut self.dispatchers[index];
-        let (clock, life) = (machine.clock, machine.life);
-        let now = clock.local(self.now);
-        let Some(state) = &mut machine.core else {
+        let (clock, generation) = (machine.clock, machine.generation);
+        let now = clock.to_local(self.now);
+        let Some(state) = &mut machine.process else {
             return;
         };
-        let mut asks = Vec::new();
-        while let Some(ask) = state.subscriber.next_poll(now) {
-            asks.push((ask.to, ask.request, ask.deadline));
+        let mut polls = Vec::new();
+        while let Some(poll) = state.subscriber.next_poll(now) {
+            polls.push((poll.to, poll.request, poll.deadline));
         }
         let next = state.subscriber.next_wakeup(now);
-        for (to, request, deadline) in asks {
-            self.ask(Node::Dispatcher(index), life, clock, &to, request, deadline);
+        for (to, request, deadline) in polls {
+            self.send_poll(Node::Dispatcher(index), generation, clock, &to, request, deadline);
         }
         if let Some(at) = next {
-            self.set_alarm(Node::Dispatcher(index), life, clock.global(at));
+            self.set_timer(Node::Dispatcher(index), generation, clock.to_global(at));
         }
     }
 
-    /// One alarm of a machine counts: the one set last.
-    fn set_alarm(&mut self, node: Node, life: u64, at: Duration) {
-        let span = at.saturating_sub(self.now).max(Duration::from_micros(10));
-        self.serial += 1;
-        let alarm = self.serial;
-        *self.alarm(node) = alarm;
-        self.after(span, Happening::Wake { node, life, alarm });
+    /// Sets the timer of a machine. Only the timer set last is effective.
+    fn set_timer(&mut self, node: Node, generation: u64, at: Duration) {
+        let delay = at.saturating_sub(self.now).max(Duration::from_micros(10));
+        self.last_id += 1;
+        let latest_timer = self.last_id;
+        *self.latest_timer(node) = latest_timer;
+        self.schedule(delay, SimEvent::Timer { node, generation, latest_timer });
     }
 
-    fn alarm(&mut self, node: Node) -> &mut u64 {
+    fn latest_timer(&mut self, node: Node) -> &mut u64 {
         match node {
-            Node::Replica(index) => &mut self.replicas[index].alarm,
-            Node::Dispatcher(index) => &mut self.dispatchers[index].alarm,
+            Node::Replica(index) => &mut self.replicas[index].latest_timer,
+            Node::Dispatcher(index) => &mut self.dispatchers[index].latest_timer,
         }
     }
 
-    fn ask(
+    fn send_poll(
         &mut self,
         from: Node,
-        life: u64,
+        generation: u64,
         clock: Clock,
         to: &ReplicaName,
         request: PollRequest,
         deadline: Duration,
     ) {
         let to = replica_index(to);
-        self.serial += 1;
-        let connection = self.serial;
-        let asks = match from {
-            Node::Replica(index) => &mut self.replicas[index].asks,
-            Node::Dispatcher(index) => &mut self.dispatchers[index].asks,
+        self.last_id += 1;
+        let connection = self.last_id;
+        let open_polls = match from {
+            Node::Replica(index) => &mut self.replicas[index].open_polls,
+            Node::Dispatcher(index) => &mut self.dispatchers[index].open_polls,
         };
-        asks.insert(to, connection);
-        let span = clock.global(deadline).saturating_sub(self.now);
-        self.after(span, Happening::Failed { node: from, life, replica: to, connection });
+        open_polls.insert(to, connection);
+        let delay = clock.to_global(deadline).saturating_sub(self.now);
+        self.schedule(delay, SimEvent::PollFailed { node: from, generation, replica: to, connection });
         let query = request.to_query();
-        self.bytes.add(from, query.len() + REQUEST_HEAD);
-        let request = match self.setting.through_text {
-            true => PollRequest::from_query(&query).expect("it reads what it writes"),
+        self.bytes.add(from, query.len() + REQUEST_HEAD_BYTES);
+        let request = match self.settings.serialize_messages {
+            true => PollRequest::from_query(&query).expect("a serialized message is parsed again"),
             false => request,
         };
         self.send(
             from,
             Node::Replica(to),
-            Happening::Request { from, from_life: life, to, connection, request },
+            SimEvent::Request { from, from_generation: generation, to, connection, request },
         );
     }
 
-    fn as_text(&mut self, happening: Happening) -> Happening {
-        match happening {
-            Happening::Answer { from, to, to_life, connection, answer } if self.setting.through_text => {
+    fn serialize_answer(&mut self, event: SimEvent) -> SimEvent {
+        match event {
+            SimEvent::Answer { from, to, to_generation, connection, answer }
+                if self.settings.serialize_messages =>
+            {
                 let json = answer.to_json();
-                self.bytes.add(to, json.len() + ANSWER_HEAD);
-                let answer = PollAnswer::from_json(&json).expect("it reads what it writes");
-                Happening::Answer { from, to, to_life, connection, answer }
+                self.bytes.add(to, json.len() + ANSWER_HEAD_BYTES);
+                let answer = PollAnswer::from_json(&json).expect("a serialized message is parsed again");
+                SimEvent::Answer { from, to, to_generation, connection, answer }
             }
             other => other,
         }
@@ -749,10 +762,10 @@
         if self.stop_publishing {
             return;
         }
-        let span = self.setting.publish_every.mul_f64(self.chance.f64() * 2.0);
-        self.after(span, Happening::Publish);
-        let replica = self.chance.usize(0..self.setting.replicas);
-        let record = if self.chance.u32(0..8) == 0 {
+        let delay = self.settings.publish_interval.mul_f64(self.rng.f64() * 2.0);
+        self.schedule(delay, SimEvent::Publish);
+        let replica = self.rng.usize(0..self.settings.replicas);
+        let record = if self.rng.u32(0..8) == 0 {
             let version = Version(self.unix_ms());
             Record::Configuration(Configuration {
                 name: "limits".to_owned(),
@@ -760,114 +773,119 @@
                 body: version.0.into(),
             })
         } else {
-            let target = PurgeTarget::Group(self.chance.u64(0..GROUPS));
-            // Publishers' clocks differ.
-            let unix_ms = self.unix_ms() + self.chance.u64(0..200);
+            let target = PurgeTarget::Group(self.rng.u64(0..GROUPS));
+            // The clocks of publishers differ.
+            let unix_ms = self.unix_ms() + self.rng.u64(0..200);
             Record::Purge(Purge { target, unix_ms })
         };
         self.publish_at(replica, record);
     }
 
-    fn fault(&mut self) {
-        let Some(every) = self.setting.fault_every.filter(|_| self.now < self.setting.faults_until) else {
+    fn inject_fault(&mut self) {
+        let Some(mean_interval) =
+            self.settings.fault_interval.filter(|_| self.now < self.settings.faults_end)
+        else {
             return;
         };
-        let next = every.mul_f64(self.chance.f64() * 2.0);
-        self.after(next, Happening::Fault);
+        let next = mean_interval.mul_f64(self.rng.f64() * 2.0);
+        self.schedule(next, SimEvent::Fault);
         self.faults += 1;
-        let replicas = self.setting.replicas;
-        let replica = Node::Replica(self.chance.usize(0..replicas));
-        let dispatcher = Node::Dispatcher(self.chance.usize(0..self.setting.dispatchers));
-        let span = ms(self.chance.u64(20..4000));
-        match self.chance.u32(0..100) {
+        let replicas = self.settings.replicas;
+        let replica = Node::Replica(self.rng.usize(0..replicas));
+        let dispatcher = Node::Dispatcher(self.rng.usize(0..self.settings.dispatchers));
+        let delay = ms(self.rng.u64(20..4000));
+        match self.rng.u32(0..100) {
             0..15 => {
                 self.kill(replica);
-                self.after(span, Happening::Start(replica));
+                self.schedule(delay, SimEvent::Start(replica));
             }
             15..17 => {
                 for index in 0..replicas {
                     self.kill(Node::Replica(index));
-                    let late = ms(self.chance.u64(1..300));
-                    self.after(late, Happening::Start(Node::Replica(index)));
+                    let start_delay = ms(self.rng.u64(1..300));
+                    self.schedule(start_delay, SimEvent::Start(Node::Replica(index)));
                 }
             }
             17..25 => {
                 self.freeze(replica);
-                self.after(span, Happening::Thaw(replica));
+                self.schedule(delay, SimEvent::Resume(replica));
             }
             25..40 => {
                 self.freeze(dispatcher);
-                self.after(span, Happening::Thaw(dispatcher));
+                self.schedule(delay, SimEvent::Resume(dispatcher));
             }
             40..55 => {
                 self.kill(dispatcher);
-                if self.chance.u32(0..5) > 0 {
-                    self.after(span, Happening::Start(dispatcher));
+                if self.rng.u32(0..5) > 0 {
+                    self.schedule(delay, SimEvent::Start(dispatcher));
                 }
             }
             55..75 => {
-                let ways = self.random_parting();
-                self.cut(&ways);
-                self.after(span, Happening::Heal(ways));
+                let links = self.random_partition();
+                self.cut_links(&links);
+                self.schedule(delay, SimEvent::RestoreLinks(links));
             }
             75..88 => {
-                let way = (self.chance.usize(0..replicas), self.chance.usize(0..replicas));
-                self.cut(&[way]);
-                self.after(span, Happening::Heal(vec![way]));
+                let link = (self.rng.usize(0..replicas), self.rng.usize(0..replicas));
+                self.cut_links(&[link]);
+                self.schedule(delay, SimEvent::RestoreLinks(vec![link]));
             }
             88..94 => {
-                self.loss = 0.2;
-                self.after(span, Happening::Loss(0.0));
+                self.loss_probability = 0.2;
+                self.schedule(delay, SimEvent::SetLoss(0.0));
             }
             _ => {
-                self.slow = ms(3000);
-                self.after(span, Happening::Slow(Duration::ZERO));
+                self.max_extra_delay = ms(3000);
+                self.schedule(delay, SimEvent::SetExtraDelay(Duration::ZERO));
             }
         }
     }
 
-    /// The ways between two random sides.
-    fn random_parting(&mut self) -> Vec<(usize, usize)> {
-        let side: Vec<bool> = (0..self.setting.replicas).map(|_| self.chance.bool()).collect();
-        let mut ways = Vec::new();
+    /// The links between the two sides of a random partition.
+    fn random_partition(&mut self) -> Vec<(usize, usize)> {
+        let side: Vec<bool> = (0..self.settings.replicas).map(|_| self.rng.bool()).collect();
+        let mut links = Vec::new();
         for one in 0..side.len() {
             for other in (0..side.len()).filter(|other| side[one] != side[*other]) {
-                ways.push((one, other));
+                links.push((one, other));
             }
         }
-        ways
+        links
     }
 
-    fn look_at_all(&mut self) {
-        (0..self.replicas.len()).for_each(|index| self.look_at(index));
+    fn check_all_claims(&mut self) {
+        (0..self.replicas.len()).for_each(|index| self.check_claims(index));
     }
 
-    /// The oracle: what a replica says is in force is applied at each dispatcher that runs and is not in doubt.
-    fn look_at(&mut self, index: usize) {
+    /// The oracle: checks that every record that a replica reports in force is applied at each running dispatcher that
+    /// is not in doubt.
+    fn check_claims(&mut self, index: usize) {
         let machine = &mut self.replicas[index];
-        let now = machine.clock.local(self.now);
-        let Some(state) = machine.core.as_mut().filter(|_| !machine.frozen) else {
+        let now = machine.clock.to_local(self.now);
+        let Some(state) = machine.process.as_mut().filter(|_| !machine.frozen) else {
             return;
         };
         let mut claims = Vec::new();
         for name in self.published.keys() {
             if let Verdict::InForce { .. } = state.replica.in_force(name, now) {
-                let record = state.replica.log().get(name).expect("it is in force").record.clone();
+                let record =
+                    state.replica.log().get(name).expect("a record in force is in the log").record.clone();
                 claims.push((name.clone(), record));
             }
         }
         self.claims_checked += claims.len() as u64;
         for (at, machine) in self.dispatchers.iter().enumerate().filter(|(_, machine)| !machine.frozen) {
-            let Some(state) = &machine.core else {
+            let Some(state) = &machine.process else {
                 continue;
             };
-            if state.subscriber.in_doubt_since(machine.clock.local(self.now)).is_some() {
+            if state.subscriber.in_doubt_since(machine.clock.to_local(self.now)).is_some() {
                 continue;
             }
             for (name, record) in &claims {
                 if state.applied.get(name).is_none_or(|applied| applied.cmp_precedence(record).is_lt()) {
-                    let says = format!("{:?}: r{index} says {name:?} is in force, d{at} lacks it", self.now);
-                    self.violations.push(says);
+                    let violation =
+                        format!("{:?}: r{index} reports {name:?} in force, d{at} lacks it", self.now);
+                    self.violations.push(violation);
                 }
             }
         }
@@ -876,32 +894,42 @@
 
 impl<T> Machine<T> {
     fn new(clock: Clock) -> Self {
-        Self { core: None, life: 0, frozen: false, mail: Vec::new(), alarm: 0, clock, asks: BTreeMap::new() }
+        Self {
+            process: None,
+            generation: 0,
+            frozen: false,
+            inbox: Vec::new(),
+            latest_timer: 0,
+            clock,
+            open_polls: BTreeMap::new(),
+        }
     }
 
     fn stop(&mut self) {
-        self.core = None;
-        self.life += 1;
+        self.process = None;
+        self.generation += 1;
         self.frozen = false;
-        self.mail.clear();
-        self.asks.clear();
+        self.inbox.clear();
+        self.open_polls.clear();
     }
 
-    fn start(&mut self, core: T) {
-        self.life += 1;
-        self.core = Some(core);
+    fn start(&mut self, process: T) {
+        self.generation += 1;
+        self.process = Some(process);
     }
 
-    /// Whether it was frozen, and what came meanwhile.
-    fn wake(&mut self) -> (bool, Vec<Happening>) {
-        (std::mem::take(&mut self.frozen), std::mem::take(&mut self.mail))
+    /// Resumes the machine. Returns whether it was frozen, and the events received meanwhile.
+    fn resume(&mut self) -> (bool, Vec<SimEvent>) {
+        (std::mem::take(&mut self.frozen), std::mem::take(&mut self.inbox))
     }
 
-    /// Whether a poll is still waited for.
-    fn is_open(&mut self, life: u64, replica: usize, connection: u64) -> bool {
-        let open = self.core.is_some() && self.life == life && self.asks.get(&replica) == Some(&connection);
+    /// Closes a poll. Returns whether it was open.
+    fn close_poll(&mut self, generation: u64, replica: usize, connection: u64) -> bool {
+        let open = self.process.is_some()
+            && self.generation == generation
+            && self.open_polls.get(&replica) == Some(&connection);
         if open {
-            self.asks.remove(&replica);
+            self.open_polls.remove(&replica);
         }
         open
     }
