--- a/crates/replication/src/checks.rs
+++ b/crates/replication/src/checks.rs
@@ -17,10 +17,10 @@
 }
 
 /// Checks the length of a name.
-pub(crate) fn check_name(what: &'static str, name: &str) -> Result<(), ConfigurationError> {
+pub(crate) fn check_name(item: &'static str, name: &str) -> Result<(), ConfigurationError> {
     let length = name.len();
     let is_valid = (1..=MAX_NAME_BYTES).contains(&length);
-    if is_valid { Ok(()) } else { Err(ConfigurationError::Name { what, length, max: MAX_NAME_BYTES }) }
+    if is_valid { Ok(()) } else { Err(ConfigurationError::Name { item, length, max: MAX_NAME_BYTES }) }
 }
 
 pub(crate) fn millis(duration: Duration) -> u64 {
--- a/crates/replication/src/errors.rs
+++ b/crates/replication/src/errors.rs
@@ -176,10 +176,10 @@
     #[error("peer `{0}` is listed twice: list each peer once, because majorities are counted from the list")]
     PeerTwice(ReplicaName),
     /// A name is empty or too long.
-    #[error("the {what} has {length} bytes: use 1 to {max} bytes")]
+    #[error("the {item} has {length} bytes: use 1 to {max} bytes")]
     Name {
-        /// What has the name.
-        what: &'static str,
+        /// The item that has the name.
+        item: &'static str,
         /// The length of the name in bytes.
         length: usize,
         /// The maximum length in bytes.
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -88,7 +88,7 @@
 pub(crate) fn seq_read_by(peers: &Peers, count: usize, oldest: Duration) -> Option<Sequence> {
     let recent_reports = peers.values().filter_map(|peer| peer.recent_report(oldest));
     let mut read: Vec<Sequence> = recent_reports.map(|report| report.read).collect();
-    read.sort_unstable_by(|one, other| other.cmp(one));
+    read.sort_unstable_by(|left, right| right.cmp(left));
     match count.checked_sub(1) {
         None => Some(Sequence(u64::MAX)),
         Some(last) => read.get(last).copied(),
