--- a/crates/replication/src/subscriber.rs
+++ b/crates/replication/src/subscriber.rs
@@ -169,7 +169,7 @@
 /// let config = SubscriberConfig::new("d1".into(), Incarnation(1), "north".into(), Some("south".into()));
 /// let mut subscriber = Subscriber::new(config, Duration::ZERO)?;
 /// assert!(subscriber.in_doubt_since(Duration::ZERO).is_some());
-/// let poll = subscriber.next_poll(Duration::ZERO).expect("it polls at once");
+/// let poll = subscriber.next_poll(Duration::ZERO).expect("it polls immediately");
 /// assert_eq!(poll.to, "north".into());
 /// let answer = PollAnswer::from_json(r#"{"log":"north-1","seq":0,"attached":true,"results":[]}"#)?;
 /// let accepted = subscriber.on_answer(&poll.to, answer, Duration::from_millis(20))?;
