--- a/crates/replication/src/replica/joining.rs
+++ b/crates/replication/src/replica/joining.rs
@@ -1,15 +1,16 @@
-//! Records that are published or read, members among them, and leases.
+//! Checks and merging of published records and of records read from peers, member records included, and leases.
 
 use super::Replica;
 use crate::checks::millis;
-use crate::compacted_log::Joined;
+use crate::compacted_log::MergeResult;
 use crate::errors::{PublishError, RecordError};
 use crate::members::Session;
-use crate::poll::NAME_MOST;
+use crate::poll::MAX_NAME_BYTES;
 use crate::record::{Event, Member, MemberState, Record, RecordName, ReplicaName, Sequence};
 use std::time::Duration;
 
 impl Replica {
+    /// Checks whether a published record is valid and not older than the known one.
     pub(super) fn check_publication(&self, record: &Record, now: Duration) -> Result<(), PublishError> {
         let name = record.name();
         check_record_name(&name)?;
@@ -17,102 +18,105 @@
             self.check_purge_time(purge.unix_ms, now)?;
         }
         let Some(known) = self.log.get(&name) else {
-            let most = self.config.records_most;
-            return if self.log.news_held() < most { Ok(()) } else { Err(PublishError::Full { most }) };
+            let max = self.config.max_records;
+            return if self.log.data_count() < max { Ok(()) } else { Err(PublishError::Full { max }) };
         };
         let (Some(version), Some(known_version)) = (record.version(), known.record.version()) else {
             return Ok(());
         };
-        let (what, name) = (record.kind(), plain_name(&name));
+        let (kind, name) = (record.kind(), name_text(&name));
         if record.conflicts_with(&known.record) {
-            return Err(RecordError::Conflict { what, name, version }.into());
+            return Err(RecordError::Conflict { kind, name, version }.into());
         }
         if version < known_version {
-            return Err(PublishError::Older { what, name, version, known: known_version });
+            return Err(PublishError::Older { kind, name, version, known: known_version });
         }
         Ok(())
     }
 
     pub(super) fn check_purge_time(&self, unix_ms: u64, now: Duration) -> Result<(), PublishError> {
-        let here = self.unix_ms(now);
-        let oldest = here.saturating_sub(millis(self.config.purge_span));
+        let now_unix_ms = self.unix_ms(now);
+        let oldest = now_unix_ms.saturating_sub(millis(self.config.purge_retention));
         if unix_ms < oldest {
             return Err(PublishError::PurgeTooOld { unix_ms, oldest });
         }
-        let ahead_ms = unix_ms.saturating_sub(here);
-        if ahead_ms > millis(self.config.clock_ahead_most) {
+        let ahead_ms = unix_ms.saturating_sub(now_unix_ms);
+        if ahead_ms > millis(self.config.max_clock_ahead) {
             return Err(PublishError::PurgeAhead { unix_ms, ahead_ms });
         }
         Ok(())
     }
 
-    /// Takes a record in; what it changes is told to those who wait.
-    pub(super) fn join(&mut self, record: Record, now: Duration) -> Sequence {
+    /// Merges a record into the log, and schedules answers to the waiting polls if it changes something.
+    pub(super) fn merge(&mut self, record: Record, now: Duration) -> Sequence {
         let member = match &record {
             Record::Member(member) => Some(member.clone()),
             _ => None,
         };
-        let seq = match self.log.join(record, now) {
-            Joined::Known(seq) => {
+        let seq = match self.log.merge(record, now) {
+            MergeResult::Known(seq) => {
                 self.counters.known_already += 1;
                 return seq;
             }
-            Joined::Changed(seq) => seq,
+            MergeResult::Changed(seq) => seq,
         };
         self.counters.joined += 1;
         if let Some(member) = &member {
-            self.member_changed(member, seq, now);
+            self.on_member_changed(member, seq, now);
         }
-        self.waiting.wake_all(member.is_some());
+        self.waiting_polls.on_record_added(member.is_some());
         seq
     }
 
-    pub(super) fn member_changed(&mut self, member: &Member, seq: Sequence, now: Duration) {
+    /// Updates the sessions and the remote members after a member record has changed.
+    pub(super) fn on_member_changed(&mut self, member: &Member, seq: Sequence, now: Duration) {
         let name = &member.name;
         self.sessions.close(name);
-        self.elsewhere.remove(name);
+        self.remote_members.remove(name);
         match member.replica() {
             Some(replica) if *replica == self.config.name => {
                 self.sessions.open(name, Session::new(seq, now));
             }
-            Some(replica) => self.elsewhere.attached(name, replica),
+            Some(replica) => self.remote_members.add(name, replica),
             None => {}
         }
-        self.wake_peers_with_reports(now);
+        self.notify_peers_of_report_changes(now);
     }
 
-    /// Takes a record of a peer's log.
-    pub(super) fn take_event(&mut self, peer: &ReplicaName, event: &Event, now: Duration) {
-        if self.is_too_old(&event.record, now) {
+    /// Merges a record of a peer's log, unless it has expired.
+    pub(super) fn merge_peer_event(&mut self, peer: &ReplicaName, event: &Event, now: Duration) {
+        if self.is_expired(&event.record, now) {
             return;
         }
         let known = self.log.get(&event.record.name());
         let conflicts = known.is_some_and(|known| event.record.conflicts_with(&known.record));
         self.counters.conflicts += u64::from(conflicts);
-        self.join(event.record.clone(), now);
+        self.merge(event.record.clone(), now);
         if let Record::Member(member) = &event.record
             && member.replica() == Some(peer)
             && self.log.member(&member.name) == Some(member)
         {
-            self.elsewhere.read_at(&member.name, peer, event.seq);
+            self.remote_members.set_seq(&member.name, peer, event.seq);
         }
     }
 
-    pub(super) fn is_too_old(&self, record: &Record, now: Duration) -> bool {
-        let span = match record {
-            Record::Purge(purge) => Some((purge.unix_ms, self.config.purge_span)),
+    /// Whether a record is older than the retention of its kind.
+    pub(super) fn is_expired(&self, record: &Record, now: Duration) -> bool {
+        let time_and_retention = match record {
+            Record::Purge(purge) => Some((purge.unix_ms, self.config.purge_retention)),
             Record::Member(Member { state: MemberState::Left(at), .. }) => {
-                Some((*at, self.config.forget_left))
+                Some((*at, self.config.left_member_retention))
             }
             _ => None,
         };
-        span.is_some_and(|(at, span)| at < self.unix_ms(now).saturating_sub(millis(span)))
+        time_and_retention
+            .is_some_and(|(at, retention)| at < self.unix_ms(now).saturating_sub(millis(retention)))
     }
 
-    /// Members whose leases are over have left.
-    pub(super) fn expire(&mut self, now: Duration) {
-        while let Some((heard_at, name)) = self.sessions.longest_silent()
-            && now >= heard_at + self.config.member_lease
+    /// Records members whose leases have expired as having left.
+    pub(super) fn expire_leases(&mut self, now: Duration) {
+        while let Some((last_poll_at, name)) = self.sessions.longest_idle()
+            && now >= last_poll_at + self.config.member_lease
         {
             let name = name.clone();
             let Some(member) = self.log.member(&name).cloned() else {
@@ -121,28 +125,26 @@
             };
             self.counters.expired += 1;
             let state = MemberState::Left(self.unix_ms(now));
-            self.join(Record::Member(Member { state, ..member }), now);
+            self.merge(Record::Member(Member { state, ..member }), now);
         }
     }
 }
 
 fn check_record_name(name: &RecordName) -> Result<(), PublishError> {
-    let plain = match name {
+    let text = match name {
         RecordName::Member(member) => return Err(PublishError::Member(member.clone())),
         RecordName::Group(_) => return Ok(()),
-        RecordName::Object(plain) | RecordName::Host(plain) | RecordName::Configuration(plain) => plain,
+        RecordName::Object(text) | RecordName::Host(text) | RecordName::Configuration(text) => text,
     };
-    let length = plain.len();
-    let fits = (1..=NAME_MOST).contains(&length);
-    if fits { Ok(()) } else { Err(PublishError::Name { length, most: NAME_MOST }) }
+    let length = text.len();
+    let is_valid = (1..=MAX_NAME_BYTES).contains(&length);
+    if is_valid { Ok(()) } else { Err(PublishError::Name { length, max: MAX_NAME_BYTES }) }
 }
 
-fn plain_name(name: &RecordName) -> String {
+fn name_text(name: &RecordName) -> String {
     match name {
         RecordName::Group(group) => group.to_string(),
         RecordName::Member(member) => member.0.clone(),
-        RecordName::Object(plain) | RecordName::Host(plain) | RecordName::Configuration(plain) => {
-            plain.clone()
-        }
+        RecordName::Object(text) | RecordName::Host(text) | RecordName::Configuration(text) => text.clone(),
     }
 }
