--- a/crates/control/src/zoning.rs
+++ b/crates/control/src/zoning.rs
@@ -9,7 +9,7 @@
 use envoy_types::pb::envoy::service::status::v3::ClientConfig;
 use envoy_types::pb::google::protobuf::Struct;
 use myrtlegauge_operator::OperatorFile;
-use myrtlegauge_zones::{Fleet, Order, Saw, Terms, Verdict};
+use myrtlegauge_zones::{HostEvidence, Order, Verdict, ZoneController, ZonePolicy};
 use std::time::Duration;
 
 /// What a report says of one host: its zone, GETs returned, those that failed, those late.
@@ -22,7 +22,7 @@
 }
 
 pub struct Zoning {
-    core: Fleet,
+    core: ZoneController,
     /// The footprint's numbers of the zones.
     numbers: Vec<usize>,
 }
@@ -33,17 +33,17 @@
         let told = file.control.as_ref()?.zones?;
         let zones: Vec<_> = file.zones.iter().map(|zone| (zone.name.clone(), zone.bears)).collect();
         let start = |name: &str| file.facts.get("obligations").and_then(|o| o.get(name)?.as_f64());
-        let terms = Terms {
+        let policy = ZonePolicy {
             quorum: told.quorum,
-            least_voters: told.least_voters,
-            reports_every,
-            hold: told.hold,
-            tries: told.tries,
-            cold_share: start("start_capacity").unwrap_or(1.0),
-            warm_within: Duration::from_secs_f64(start("warm_within_ms").unwrap_or(0.0) / 1e3),
+            min_voters: told.least_voters,
+            report_interval: reports_every,
+            hold_down: told.hold,
+            max_step_backs: told.tries,
+            cold_fraction: start("start_capacity").unwrap_or(1.0),
+            warm_up_time: Duration::from_secs_f64(start("warm_within_ms").unwrap_or(0.0) / 1e3),
         };
         let numbers = file.zones.iter().map(|zone| zone.number).collect();
-        Some(Self { core: Fleet::new(terms, &zones, now), numbers })
+        Some(Self { core: ZoneController::new(policy, &zones, now), numbers })
     }
 
     /// Takes one dispatcher's report: what it saw of hosts, GETs that it took, its fills at sources, the verdicts that it holds.
@@ -56,22 +56,22 @@
         held: Option<&Struct>,
         now: Duration,
     ) {
-        self.core.reported(node, taken, fills, now);
+        self.core.record_report(node, taken, fills, now);
         for (at, &zone) in self.numbers.iter().enumerate() {
-            let (mut saw, mut gets) = (Saw::default(), 0);
+            let (mut saw, mut gets) = (HostEvidence::default(), 0);
             for host in hosts.iter().filter(|host| host.zone == zone) {
                 let all = host.returned + host.errored;
                 gets += all;
-                saw.asked += u32::from(all > 0);
+                saw.contacted += u32::from(all > 0);
                 let failed = host.errored * 2 > all;
                 saw.failed += u32::from(failed);
                 saw.late += u32::from(!failed && (host.errored + host.late) * 2 > all);
             }
-            self.core.saw(node, at, &saw, gets, now);
+            self.core.record_evidence(node, at, &saw, gets, now);
             let name = &self.core.zones[at].name;
             if let Some(line) = held.and_then(|held| messages::zone_held(held, name)) {
                 // What it was told some time ago has taken effect.
-                self.core.holds(node, at, Verdict { from: now, ..line.verdict() }, now);
+                self.core.record_held_verdict(node, at, Verdict { from: now, ..line.verdict() }, now);
             }
         }
     }
@@ -124,7 +124,7 @@
             _ => return Err(format!("order {what:?} is not known; orders are leave, hold, return")),
         };
         log::warn!(zone, order = what; "an operator's order");
-        self.core.order(at, order, now);
+        self.core.set_order(at, order, now);
         Ok(())
     }
 
@@ -134,7 +134,7 @@
             let (tally, verdict) = (self.core.tally(at, now), zone.verdict);
             let votes: Vec<_> = self
                 .core
-                .who(at, now)
+                .votes(at, now)
                 .map(|(who, vote)| format!("{who} {}", format!("{vote:?}").to_lowercase()))
                 .collect();
             let lower = |said: String| text(&said.to_lowercase());
@@ -146,15 +146,15 @@
                 ("part", number(verdict.part)),
                 ("sheds", number(verdict.sheds)),
                 ("step", number(f64::from(zone.step))),
-                ("backs", number(f64::from(zone.backs))),
+                ("backs", number(f64::from(zone.step_backs))),
                 ("since_ms", number(now.saturating_sub(zone.since).as_millis() as f64)),
-                ("asked", number(zone.asked)),
-                ("bears", number(zone.bears)),
+                ("asked", number(zone.get_rate)),
+                ("bears", number(zone.capacity)),
                 ("well", number(f64::from(tally.well))),
                 ("ill", number(f64::from(tally.ill))),
                 ("dead", number(f64::from(tally.dead))),
-                ("members", number(self.core.members() as f64)),
-                ("sources_bad", number(self.core.sources_bad)),
+                ("members", number(self.core.member_count() as f64)),
+                ("sources_bad", number(self.core.bad_source_fraction)),
                 ("votes", text(&votes.join(", "))),
             ];
             let fields = told.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
--- a/crates/dispatcher/src/routing/zones.rs
+++ b/crates/dispatcher/src/routing/zones.rs
@@ -3,7 +3,7 @@
 
 use super::proxy::Proxy;
 use myrtlegauge::interface::{End, HostEntry, HostIndex, HostStatus};
-use myrtlegauge_zones::{Belief, Own, Saw, Verdict};
+use myrtlegauge_zones::{HeldVerdicts, HostEvidence, LocalRule, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
 
 pub struct Zones {
     names: Vec<String>,
-    belief: Belief,
-    own: Own,
+    held: HeldVerdicts,
+    local_rule: LocalRule,
     /// As the module was told them last.
     parts: Vec<f64>,
     sheds: f64,
@@ -62,8 +62,8 @@
     pub fn new(names: Vec<String>, every: Duration, report: Box<dyn Fn(ZoneReport)>, now: Duration) -> Self {
         let count = names.len();
         Self {
-            belief: Belief::new(count, now),
-            own: Own::new(count),
+            held: HeldVerdicts::new(count, now),
+            local_rule: LocalRule::new(count),
             parts: vec![1.0; count],
             names,
             sheds: 0.0,
@@ -76,7 +76,7 @@
     }
 
     fn part(&self, zone: usize, now: Duration) -> f64 {
-        self.belief.part(zone, now).min(self.own.part(zone, now))
+        self.held.key_fraction(zone, now).min(self.local_rule.max_key_fraction(zone, now))
     }
 
     /// A host's entry as the module is told it: a zone that takes nothing drains, one that comes back takes a part.
@@ -93,15 +93,15 @@
     }
 
     pub fn is_unsure(&self, now: Duration) -> bool {
-        self.belief.is_unsure(now)
+        self.held.is_uncertain(now)
     }
 
     pub fn due(&self, now: Duration) -> Duration {
-        self.belief.due(now).min(self.own.due(now)).min(self.reports_at)
+        self.held.next_change(now).min(self.local_rule.next_change(now)).min(self.reports_at)
     }
 
     pub fn woke(&mut self, now: Duration) {
-        self.belief.woke(now);
+        self.held.on_resume(now);
     }
 
     fn seen_of(&mut self, host: HostIndex) -> &mut SeenHost {
@@ -150,10 +150,10 @@
     fn zone_news(&mut self, news: ZoneNews) {
         let (now, Some(zones)) = (self.now, &mut self.zones) else { return };
         match news {
-            ZoneNews::Lease(left) => zones.belief.leased(now + left),
+            ZoneNews::Lease(left) => zones.held.renew_lease(now + left),
             ZoneNews::Verdict { zone, verdict, lead } => {
                 let Some(at) = zones.names.iter().position(|name| *name == zone) else { return };
-                if zones.belief.told(at, &verdict, lead, now) {
+                if zones.held.apply(at, &verdict, lead, now) {
                     let Verdict { epoch, part, sheds, .. } = verdict;
                     log::info!(zone:%, epoch, stage:? = verdict.stage, part, sheds; "zone verdict");
                 }
@@ -169,7 +169,7 @@
             self.report_zones();
         }
         let Some(zones) = &mut self.zones else { return Vec::new() };
-        zones.sheds = zones.belief.sheds(now);
+        zones.sheds = zones.held.shed_fraction(now);
         let moved: Vec<usize> =
             (0..zones.parts.len()).filter(|&zone| zones.part(zone, now) != zones.parts[zone]).collect();
         for &zone in &moved {
@@ -218,7 +218,7 @@
         self.see_silent();
         let (now, Some(zones)) = (self.now, &mut self.zones) else { return };
         zones.reports_at = now + zones.every;
-        let mut saw = vec![Saw::default(); zones.names.len()];
+        let mut saw = vec![HostEvidence::default(); zones.names.len()];
         let mut report = ZoneReport::default();
         for (host, seen) in std::mem::take(&mut zones.seen).into_iter().enumerate() {
             let Some(of) = self.hosts.get(host) else { continue };
@@ -226,7 +226,7 @@
                 continue;
             };
             if all > 0 {
-                saw.asked += 1;
+                saw.contacted += 1;
                 saw.failed += u32::from(seen.errored * 2 > all);
                 saw.late += u32::from(seen.errored * 2 <= all && (seen.late + seen.errored) * 2 > all);
             }
@@ -235,9 +235,9 @@
                 report.hosts.push((name, address, seen));
             }
         }
-        zones.own.saw(&saw, now);
+        zones.local_rule.record(&saw, now);
         report.held =
-            zones.names.iter().enumerate().map(|(at, name)| (name.clone(), zones.belief.held(at))).collect();
+            zones.names.iter().enumerate().map(|(at, name)| (name.clone(), zones.held.verdict(at))).collect();
         report.taken = self.counters.taken - std::mem::replace(&mut zones.taken, self.counters.taken);
         (zones.report)(report);
     }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,17 +1,18 @@
-//! When a fleet leaves a zone together, and how it comes back: cores without I/O and without a clock.
+//! Zone evacuation by a whole fleet and the staged return: cores without I/O and without a clock.
 //!
-//! `votes` is what many dispatchers saw, one vote each; `fleet` makes verdicts of it, in a control service; `belief` is what
-//! a dispatcher holds of them, for how long; `own` is its own rule, which is only ever stricter; `shedding` finds what is to be
-//! shed where what remains does not bear the traffic.
+//! `votes` counts the evidence of many dispatchers, one vote each. `controller` makes verdicts from the votes, in a control
+//! service. `held_verdicts` is what a dispatcher holds of these verdicts, and for how long. `local_rule` is the
+//! dispatcher's own rule, which is only ever stricter. `shedding` finds the fraction to shed while the remaining zones
+//! lack the capacity for the traffic.
 
-pub mod belief;
-pub mod fleet;
-pub mod own;
+pub mod controller;
+pub mod held_verdicts;
+pub mod local_rule;
 pub mod shedding;
 pub mod votes;
 
-pub use belief::Belief;
-pub use fleet::{Fleet, Order, Stage, Terms, Verdict, Why};
-pub use own::Own;
+pub use controller::{Order, Stage, Verdict, Why, ZoneController, ZonePolicy};
+pub use held_verdicts::HeldVerdicts;
+pub use local_rule::LocalRule;
 pub use shedding::ShedController;
-pub use votes::{Saw, Vote};
+pub use votes::{HostEvidence, Vote};
--- a/crates/zones/src/votes.rs
+++ b/crates/zones/src/votes.rs
@@ -1,55 +1,57 @@
-//! Evidence on a zone: what each dispatcher saw of its hosts lately, one vote each however much it says.
+//! Evidence on a zone: how its hosts answered each dispatcher lately. Each dispatcher has one vote, however often it reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Part of the hosts that were asked from which a zone counts as dead for who asked: a few hosts that fail are hosts, and
-/// the rest of a dead zone may not have been asked since.
-const DEAD_FROM: f64 = 0.6;
-/// The same, failed and late together, from which it is ill.
-const ILL_FROM: f64 = 0.4;
-/// Hosts that must have been asked: one is a host, not a zone.
-const HOSTS_FEW: u32 = 2;
-/// Voters remembered for a zone: made-up names must not fill the memory.
-const VOTERS_MOST: usize = 4096;
-
-/// What a dispatcher saw of a zone's hosts in one interval.
+/// The fraction of contacted hosts that must fail for a zone to count as dead for a dispatcher. A smaller number of failed
+/// hosts is a matter of these hosts, and the other hosts of a dead zone may not have been contacted since.
+const DEAD_FRACTION: f64 = 0.6;
+/// The fraction of contacted hosts that must fail or be late for a zone to count as ill.
+const ILL_FRACTION: f64 = 0.4;
+/// Hosts that must have been contacted: a single one says nothing of the zone.
+const MIN_HOSTS: u32 = 2;
+/// Voters remembered for a zone, so that made-up names cannot fill the memory.
+const MAX_VOTERS: usize = 4096;
+
+/// How a zone's hosts answered a dispatcher in one interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Saw {
-    /// Hosts that it asked anything of.
-    pub asked: u32,
-    /// Of them, those that mostly failed it, and those that were mostly late.
+pub struct HostEvidence {
+    /// Hosts that were sent any request.
+    pub contacted: u32,
+    /// Contacted hosts that mostly failed.
     pub failed: u32,
+    /// Contacted hosts that were mostly late.
     pub late: u32,
 }
 
+/// A dispatcher's vote on a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Vote {
     Well,
-    /// Grey: slow, lossy, half of it.
+    /// A gray failure: slow, lossy, or half of it gone.
     Ill,
     Dead,
 }
 
-impl Saw {
-    /// What that says of the zone; nothing where too little was asked.
+impl HostEvidence {
+    /// The vote that follows from the evidence; none where too few hosts were contacted.
     pub fn vote(&self) -> Option<Vote> {
-        self.vote_by(HOSTS_FEW)
+        self.vote_of(MIN_HOSTS)
     }
 
-    /// The same while a zone is tried with few GETs: any host that was asked tells.
-    pub fn vote_of_trial(&self) -> Option<Vote> {
-        self.vote_by(1)
+    /// The vote during a trial with few GETs, where any contacted host counts.
+    pub fn trial_vote(&self) -> Option<Vote> {
+        self.vote_of(1)
     }
 
-    fn vote_by(&self, hosts: u32) -> Option<Vote> {
-        if self.asked < hosts {
+    fn vote_of(&self, min_hosts: u32) -> Option<Vote> {
+        if self.contacted < min_hosts {
             return None;
         }
-        let part = |hosts: u32| f64::from(hosts) / f64::from(self.asked);
-        Some(if part(self.failed) >= DEAD_FROM {
+        let fraction = |hosts: u32| f64::from(hosts) / f64::from(self.contacted);
+        Some(if fraction(self.failed) >= DEAD_FRACTION {
             Vote::Dead
-        } else if part(self.failed + self.late) >= ILL_FROM {
+        } else if fraction(self.failed + self.late) >= ILL_FRACTION {
             Vote::Ill
         } else {
             Vote::Well
@@ -57,7 +59,7 @@
     }
 }
 
-/// How many say what now.
+/// The number of current votes of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub well: u32,
@@ -70,8 +72,8 @@
         self.well + self.ill + self.dead
     }
 
-    /// Part of the voters; none of no voters.
-    pub fn part(&self, votes: u32) -> f64 {
+    /// The fraction of the voters that these votes are; zero without voters.
+    pub fn fraction(&self, votes: u32) -> f64 {
         f64::from(votes) / f64::from(self.voters().max(1))
     }
 }
@@ -79,23 +81,24 @@
 /// The votes on one zone, by voter.
 #[derive(Clone, Debug, Default)]
 pub struct Votes {
-    by: BTreeMap<String, (Vote, Duration)>,
+    by_voter: BTreeMap<String, (Vote, Duration)>,
 }
 
 impl Votes {
+    /// Records a vote, in place of the voter's previous one. A new voter over the bound is not recorded.
     pub fn cast(&mut self, voter: &str, vote: Vote, now: Duration) {
-        let full = self.by.len() >= VOTERS_MOST;
-        match self.by.get_mut(voter) {
-            Some(known) => *known = (vote, now),
-            None if full => {}
-            None => _ = self.by.insert(voter.to_owned(), (vote, now)),
+        let is_full = self.by_voter.len() >= MAX_VOTERS;
+        match self.by_voter.get_mut(voter) {
+            Some(previous) => *previous = (vote, now),
+            None if is_full => {}
+            None => _ = self.by_voter.insert(voter.to_owned(), (vote, now)),
         }
     }
 
-    /// Votes cast at `since` or later.
+    /// Counts the votes cast at `since` or later.
     pub fn tally(&self, since: Duration) -> Tally {
         let mut tally = Tally::default();
-        for (vote, at) in self.by.values() {
+        for (vote, at) in self.by_voter.values() {
             if *at >= since {
                 *match vote {
                     Vote::Well => &mut tally.well,
@@ -107,41 +110,41 @@
         tally
     }
 
-    /// Forgets votes from before.
-    pub fn forget(&mut self, before: Duration) {
-        self.by.retain(|_, (_, at)| *at >= before);
+    /// Drops votes cast before a time.
+    pub fn drop_before(&mut self, time: Duration) {
+        self.by_voter.retain(|_, (_, at)| *at >= time);
     }
 
-    /// Who says what, for people.
-    pub fn who(&self, since: Duration) -> impl Iterator<Item = (&str, Vote)> {
-        let late = move |(_, (_, at)): &(&String, &(Vote, Duration))| *at >= since;
-        self.by.iter().filter(late).map(|(voter, (vote, _))| (voter.as_str(), *vote))
+    /// The voters and their votes cast at `since` or later, for display.
+    pub fn list(&self, since: Duration) -> impl Iterator<Item = (&str, Vote)> {
+        let is_current = move |(_, (_, at)): &(&String, &(Vote, Duration))| *at >= since;
+        self.by_voter.iter().filter(is_current).map(|(voter, (vote, _))| (voter.as_str(), *vote))
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{Saw, Vote, Votes};
+    use super::{HostEvidence, Vote, Votes};
     use std::time::Duration;
 
     #[test]
-    fn one_voter_is_one_vote_and_an_old_one_is_none() {
-        let (mut votes, s) = (Votes::default(), Duration::from_secs);
+    fn each_voter_has_one_vote_and_outdated_votes_do_not_count() {
+        let (mut votes, seconds) = (Votes::default(), Duration::from_secs);
         for n in 0..100 {
-            votes.cast("loud", Vote::Dead, s(1) + Duration::from_millis(n));
+            votes.cast("loud", Vote::Dead, seconds(1) + Duration::from_millis(n));
         }
-        votes.cast("a", Vote::Well, s(3));
-        votes.cast("b", Vote::Well, s(3));
-        assert_eq!((votes.tally(s(0)).dead, votes.tally(s(0)).well), (1, 2));
-        assert_eq!(votes.tally(s(2)).dead, 0);
+        votes.cast("a", Vote::Well, seconds(3));
+        votes.cast("b", Vote::Well, seconds(3));
+        assert_eq!((votes.tally(seconds(0)).dead, votes.tally(seconds(0)).well), (1, 2));
+        assert_eq!(votes.tally(seconds(2)).dead, 0);
     }
 
     #[test]
-    fn a_few_hosts_that_fail_are_no_zone() {
-        let saw = |asked, failed, late| Saw { asked, failed, late }.vote();
-        assert_eq!(saw(1, 1, 0), None);
-        assert_eq!(saw(5, 1, 0), Some(Vote::Well));
-        assert_eq!(saw(5, 1, 1), Some(Vote::Ill));
-        assert_eq!(saw(5, 3, 0), Some(Vote::Dead));
+    fn a_few_failing_hosts_do_not_make_a_zone_dead() {
+        let vote = |contacted, failed, late| HostEvidence { contacted, failed, late }.vote();
+        assert_eq!(vote(1, 1, 0), None);
+        assert_eq!(vote(5, 1, 0), Some(Vote::Well));
+        assert_eq!(vote(5, 1, 1), Some(Vote::Ill));
+        assert_eq!(vote(5, 3, 0), Some(Vote::Dead));
     }
 }
--- a/crates/zones/tests/generated.rs
+++ b/crates/zones/tests/generated.rs
@@ -1,23 +1,24 @@
-//! The verdicts on generated schedules: zones that die, ail and come back at any time, members that lie or are cut off, a
-//! service that begins anew. Whatever comes, the promises hold; each is seen to be needed by a schedule of its own.
+//! Zone verdicts on generated schedules: zones fail, are ill and recover at any time, members report falsely or are cut
+//! off, the control service restarts. The invariants hold on every schedule. A schedule of its own shows that each one is
+//! needed.
 
-use myrtlegauge_zones::{Fleet, Order, Saw, Stage, Terms, Verdict, Why};
+use myrtlegauge_zones::{HostEvidence, Order, Stage, Verdict, Why, ZoneController, ZonePolicy};
 use proptest::prelude::*;
 use std::time::Duration;
 
-const EVERY: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 const MEMBERS: usize = 9;
-const HOSTS: u32 = 5;
+const HOSTS_PER_ZONE: u32 = 5;
 
-fn terms() -> Terms {
-    Terms {
+fn policy() -> ZonePolicy {
+    ZonePolicy {
         quorum: 0.6,
-        least_voters: 3,
-        reports_every: EVERY,
-        hold: Duration::from_secs(3),
-        tries: 3,
-        cold_share: 0.22,
-        warm_within: Duration::from_secs(3),
+        min_voters: 3,
+        report_interval: REPORT_INTERVAL,
+        hold_down: Duration::from_secs(3),
+        max_step_backs: 3,
+        cold_fraction: 0.22,
+        warm_up_time: Duration::from_secs(3),
     }
 }
 
@@ -30,131 +31,141 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Is(usize, Health),
-    /// So many of the nine are cut off from a zone, or from none.
+    /// A zone has this health from now on.
+    SetHealth(usize, Health),
+    /// A zone is cut off from this number of the nine members, which may be zero.
     CutOff(usize, usize),
     Order(usize, Order),
-    /// The service loses all that it knew; its followers keep what they hold.
-    Anew,
+    /// The service loses all its state; its followers keep the verdicts that they hold.
+    ServiceRestart,
 }
 
 struct World {
-    fleet: Fleet,
+    controller: ZoneController,
     health: Vec<Health>,
+    /// How many members are cut off from each zone.
     cut_off: Vec<usize>,
-    /// As followers hold them.
+    /// The verdicts that followers hold.
     held: Vec<Verdict>,
-    left: Vec<Vec<Duration>>,
-    liars: usize,
+    /// When each zone was evacuated.
+    evacuations: Vec<Vec<Duration>>,
+    /// Members that report every zone dead.
+    false_reporters: usize,
     now: Duration,
-    rate: f64,
-    bears: f64,
+    /// GETs a second of all clients.
+    get_rate: f64,
+    /// GETs a second that each zone has the capacity for; zero: not configured.
+    capacity: f64,
 }
 
 impl World {
-    fn new(zones: usize, liars: usize, bears: f64) -> Self {
+    fn new(zones: usize, false_reporters: usize, capacity: f64) -> Self {
         let now = Duration::from_secs(100);
         Self {
-            fleet: Fleet::new(terms(), &named(zones, bears), now),
+            controller: ZoneController::new(policy(), &named_zones(zones, capacity), now),
             health: vec![Health::Well; zones],
             cut_off: vec![0; zones],
             held: vec![Verdict::default(); zones],
-            left: vec![Vec::new(); zones],
-            liars,
+            evacuations: vec![Vec::new(); zones],
+            false_reporters,
             now,
-            rate: 1440.0,
-            bears,
+            get_rate: 1440.0,
+            capacity,
         }
     }
 
-    /// One interval: all report what they see of the zones that they use, then the service looks ten times.
-    fn interval(&mut self) -> Result<(), String> {
-        let parts: Vec<f64> = self.held.iter().map(|held| held.part).collect();
-        let sum: f64 = parts.iter().sum();
+    /// One interval: all members report on the zones that they use, then the service evaluates the reports ten times.
+    fn run_interval(&mut self) -> Result<(), String> {
+        let fractions: Vec<f64> = self.held.iter().map(|held| held.part).collect();
+        let sum: f64 = fractions.iter().sum();
         for member in 0..MEMBERS {
             let name = format!("m{member}");
-            for (zone, &part) in parts.iter().enumerate() {
-                let lies = member < self.liars;
-                let cut = MEMBERS - member <= self.cut_off[zone];
-                let of = match self.health[zone] {
-                    _ if lies => Health::Dead,
-                    Health::Well if cut => Health::Dead,
+            for (zone, &fraction) in fractions.iter().enumerate() {
+                let reports_falsely = member < self.false_reporters;
+                let is_cut_off = MEMBERS - member <= self.cut_off[zone];
+                let observed = match self.health[zone] {
+                    _ if reports_falsely => Health::Dead,
+                    Health::Well if is_cut_off => Health::Dead,
                     health => health,
                 };
-                let (failed, late) = match of {
+                let (failed, late) = match observed {
                     Health::Well => (0, 0),
                     Health::Ill => (1, 2),
-                    Health::Dead => (HOSTS, 0),
+                    Health::Dead => (HOSTS_PER_ZONE, 0),
                 };
-                let sheds = self.held.iter().map(|held| held.sheds).fold(0.0, f64::max);
-                let gets = ((1.0 - sheds) * self.rate * EVERY.as_secs_f64() * part / sum.max(0.1)) as u64
+                let shed_fraction = self.held.iter().map(|held| held.sheds).fold(0.0, f64::max);
+                let gets = ((1.0 - shed_fraction) * self.get_rate * REPORT_INTERVAL.as_secs_f64() * fraction
+                    / sum.max(0.1)) as u64
                     / MEMBERS as u64;
-                // Where nothing is sent nothing is seen; a liar sees what it likes.
-                let asked = if part > 0.0 || lies { HOSTS } else { 0 };
-                let saw = Saw { asked, failed: failed.min(asked), late: late.min(asked) };
-                self.fleet.saw(&name, zone, &saw, gets, self.now);
-                self.fleet.holds(&name, zone, self.held[zone], self.now);
+                // A zone that takes no keys gives no evidence, except to a member that reports falsely.
+                let contacted = if fraction > 0.0 || reports_falsely { HOSTS_PER_ZONE } else { 0 };
+                let evidence =
+                    HostEvidence { contacted, failed: failed.min(contacted), late: late.min(contacted) };
+                self.controller.record_evidence(&name, zone, &evidence, gets, self.now);
+                self.controller.record_held_verdict(&name, zone, self.held[zone], self.now);
             }
-            let taken = (self.rate * EVERY.as_secs_f64() / MEMBERS as f64) as u64;
-            self.fleet.reported(&name, taken, (10, 0), self.now);
+            let taken = (self.get_rate * REPORT_INTERVAL.as_secs_f64() / MEMBERS as f64) as u64;
+            self.controller.record_report(&name, taken, (10, 0), self.now);
         }
         for _ in 0..10 {
-            self.now += EVERY / 10;
-            if self.fleet.tick(self.now) && self.fleet.is_ready() {
-                self.take()?;
+            self.now += REPORT_INTERVAL / 10;
+            if self.controller.tick(self.now) && self.controller.is_ready() {
+                self.apply_verdicts()?;
             }
         }
-        self.take()
+        self.apply_verdicts()
     }
 
-    /// Followers take what goes before what they hold; the promises are looked at.
-    fn take(&mut self) -> Result<(), String> {
-        if !self.fleet.is_ready() {
+    /// Followers apply the verdicts that supersede those they hold; the invariants are checked.
+    fn apply_verdicts(&mut self) -> Result<(), String> {
+        if !self.controller.is_ready() {
             return Ok(());
         }
-        for (at, zone) in self.fleet.zones.iter().enumerate() {
-            let (new, held) = (zone.verdict, &mut self.held[at]);
+        for (index, zone) in self.controller.zones.iter().enumerate() {
+            let (new, held) = (zone.verdict, &mut self.held[index]);
             if new.epoch < held.epoch {
                 return Err(format!("epoch of {} went from {} to {}", zone.name, held.epoch, new.epoch));
             }
-            if !new.goes_before(held) {
+            if !new.supersedes(held) {
                 continue;
             }
             if new.stage == Stage::Returning && held.stage == Stage::Returning && new.part > held.part {
-                let step = (1.0 - 0.22) / 8.0 + 1e-9;
-                let first = held.part < 0.22 && new.part <= 0.22 + 1e-9;
-                if !first && new.part > held.part + step {
+                let max_step = (1.0 - 0.22) / 8.0 + 1e-9;
+                let ends_trial = held.part < 0.22 && new.part <= 0.22 + 1e-9;
+                if !ends_trial && new.part > held.part + max_step {
                     return Err(format!("{} went from {} to {} at once", zone.name, held.part, new.part));
                 }
             }
             if new.stage == Stage::Left && held.stage != Stage::Left {
-                self.left[at].push(self.now);
+                self.evacuations[index].push(self.now);
             }
             *held = new;
         }
         if self.held.iter().all(|held| held.part < 0.1 || held.stage == Stage::Left) {
-            return Err(format!("no zone is left to go to: {:?}", self.held));
+            return Err(format!("no zone takes keys: {:?}", self.held));
         }
         Ok(())
     }
 
-    fn happens(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         let zones = self.held.len();
         match event {
-            Event::Is(zone, health) => self.health[zone % zones] = health,
+            Event::SetHealth(zone, health) => self.health[zone % zones] = health,
             Event::CutOff(zone, count) => self.cut_off[zone % zones] = count,
-            Event::Order(zone, order) => self.fleet.order(zone % zones, order, self.now),
-            Event::Anew => self.fleet = Fleet::new(terms(), &named(zones, self.bears), self.now),
+            Event::Order(zone, order) => self.controller.set_order(zone % zones, order, self.now),
+            Event::ServiceRestart => {
+                self.controller = ZoneController::new(policy(), &named_zones(zones, self.capacity), self.now);
+            }
         }
     }
 
     fn run(&mut self, intervals: usize) -> Result<(), String> {
-        (0..intervals).try_for_each(|_| self.interval())
+        (0..intervals).try_for_each(|_| self.run_interval())
     }
 }
 
-fn named(zones: usize, bears: f64) -> Vec<(String, f64)> {
-    (0..zones).map(|zone| (format!("edge-{zone}"), bears)).collect()
+fn named_zones(zones: usize, capacity: f64) -> Vec<(String, f64)> {
+    (0..zones).map(|zone| (format!("edge-{zone}"), capacity)).collect()
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -162,134 +173,140 @@
     let health = prop_oneof![Just(Health::Well), Just(Health::Ill), Just(Health::Dead)];
     let order = prop_oneof![Just(Order::None), Just(Order::Leave), Just(Order::Hold)];
     prop_oneof![
-        4 => (zone.clone(), health).prop_map(|(zone, health)| Event::Is(zone, health)),
+        4 => (zone.clone(), health).prop_map(|(zone, health)| Event::SetHealth(zone, health)),
         2 => (zone.clone(), 0..MEMBERS).prop_map(|(zone, count)| Event::CutOff(zone, count)),
         1 => (zone, order).prop_map(|(zone, order)| Event::Order(zone, order)),
-        1 => Just(Event::Anew),
+        1 => Just(Event::ServiceRestart),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Epochs never go back, a return goes on by single steps, some zone always takes keys, and none is left more often
-    /// than its hold allows.
+    /// Epochs never go back, a return advances by single steps, some zone always takes keys, and none is evacuated more
+    /// often than its hold-down allows.
     #[test]
-    fn whatever_happens_the_promises_hold(
+    fn the_invariants_hold_on_any_schedule(
         events in prop::collection::vec((1..40usize, event()), 1..25),
         zones in 2..4usize,
-        liars in 0..4usize,
+        false_reporters in 0..4usize,
     ) {
-        let mut world = World::new(zones, liars, 0.0);
+        let mut world = World::new(zones, false_reporters, 0.0);
         prop_assert_eq!(world.run(8), Ok(()));
-        for (intervals, what) in events {
-            world.happens(what);
+        for (intervals, event) in events {
+            world.apply_event(event);
             prop_assert_eq!(world.run(intervals), Ok(()));
         }
-        // An operator may leave as often as he likes: his orders are in the schedule, so the bound is a wide one.
-        for left in &world.left {
-            let worst = left.iter().map(|at| left.iter().filter(|l| **l >= *at && **l < *at + Duration::from_secs(10)).count());
-            prop_assert!(worst.max().unwrap_or(0) <= 8, "{:?}", left);
+        // Operators may order evacuations at any rate. Such orders are in the schedule, so the bound is wide.
+        for evacuations in &world.evacuations {
+            let counts = evacuations.iter().map(|start| evacuations.iter().filter(|at| **at >= *start && **at < *start + Duration::from_secs(10)).count());
+            prop_assert!(counts.max().unwrap_or(0) <= 8, "{:?}", evacuations);
         }
     }
 
-    /// With a third of the members lying, or cut off, and the rest well, nothing is left for all.
+    /// With a third of the members reporting falsely or cut off, and all zones well, no zone is evacuated.
     #[test]
-    fn a_third_can_not_have_a_zone_left(zone in 0..3usize, lying in any::<bool>(), long in 4..100usize) {
-        let mut world = World::new(3, if lying { 3 } else { 0 }, 0.0);
-        world.run(8).expect("it holds");
-        if !lying {
-            world.happens(Event::CutOff(zone, 3));
+    fn a_third_of_the_members_cannot_cause_an_evacuation(
+        zone in 0..3usize,
+        is_reporting_falsely in any::<bool>(),
+        intervals in 4..100usize,
+    ) {
+        let mut world = World::new(3, if is_reporting_falsely { 3 } else { 0 }, 0.0);
+        world.run(8).expect("the invariants hold while all zones are well");
+        if !is_reporting_falsely {
+            world.apply_event(Event::CutOff(zone, 3));
         }
-        prop_assert_eq!(world.run(long), Ok(()));
+        prop_assert_eq!(world.run(intervals), Ok(()));
         prop_assert!(world.held.iter().all(|held| held.part == 1.0), "{:?}", world.held);
     }
 }
 
-/// A dead zone is left within three reports, rests, is tried with a part of its keys, and comes back in steps that take
-/// no longer than half as much again as hosts take to warm up.
+/// A dead zone is evacuated within three reports, held down, and tried with a fraction of its keys. It returns in steps that
+/// take no longer than one and a half times the time that hosts take to warm up.
 #[test]
-fn a_dead_zone_is_left_and_comes_back_in_steps() {
+fn a_dead_zone_is_evacuated_and_returns_in_steps() {
     let mut world = World::new(3, 0, 0.0);
     world.run(8).unwrap();
-    let died = world.now;
-    world.happens(Event::Is(1, Health::Dead));
+    let died_at = world.now;
+    world.apply_event(Event::SetHealth(1, Health::Dead));
     while world.held[1].part > 0.0 {
         world.run(1).unwrap();
     }
-    assert!(world.now - died <= Duration::from_millis(750), "{:?}", world.now - died);
-    world.happens(Event::Is(1, Health::Well));
+    assert!(world.now - died_at <= Duration::from_millis(750), "{:?}", world.now - died_at);
+    world.apply_event(Event::SetHealth(1, Health::Well));
     while world.held[1].stage != Stage::Returning {
         world.run(1).unwrap();
     }
-    let (back, mut parts) = (world.now, vec![world.held[1].part]);
+    let (return_began, mut fractions) = (world.now, vec![world.held[1].part]);
     while world.held[1].stage != Stage::Serving {
         world.run(1).unwrap();
-        if parts.last() != Some(&world.held[1].part) {
-            parts.push(world.held[1].part);
+        if fractions.last() != Some(&world.held[1].part) {
+            fractions.push(world.held[1].part);
         }
     }
-    assert!(parts.windows(2).all(|pair| pair[0] < pair[1]) && parts.len() >= 9, "{parts:?}");
-    assert!(world.now - back <= terms().warm_within.mul_f64(1.6), "{:?}", world.now - back);
+    assert!(fractions.windows(2).all(|pair| pair[0] < pair[1]) && fractions.len() >= 9, "{fractions:?}");
+    let took = world.now - return_began;
+    assert!(took <= policy().warm_up_time.mul_f64(1.6), "{took:?}");
 }
 
-/// A zone that flaps is held twice as long each time, so that it is left at most four times in a minute.
+/// The hold-down of a flapping zone doubles each time, so that it is evacuated at most four times in a minute.
 #[test]
-fn a_flapping_zone_is_held_longer_each_time() {
+fn the_hold_down_of_a_flapping_zone_grows() {
     let mut world = World::new(2, 0, 0.0);
     world.run(8).unwrap();
-    for n in 0..240 {
-        world.happens(Event::Is(0, if n / 4 % 2 == 0 { Health::Dead } else { Health::Well }));
+    for interval in 0..240 {
+        let health = if interval / 4 % 2 == 0 { Health::Dead } else { Health::Well };
+        world.apply_event(Event::SetHealth(0, health));
         world.run(1).unwrap();
     }
-    assert!((2..=4).contains(&world.left[0].len()), "{:?}", world.left[0]);
+    assert!((2..=4).contains(&world.evacuations[0].len()), "{:?}", world.evacuations[0]);
 }
 
-/// A service that begins anew in the middle of a return goes on from the step that its followers hold.
+/// A service that restarts during a return continues from the step that its followers hold.
 #[test]
-fn a_return_outlives_its_service() {
+fn a_return_continues_after_a_restart_of_its_service() {
     let mut world = World::new(2, 0, 0.0);
     world.run(8).unwrap();
-    world.happens(Event::Is(0, Health::Dead));
+    world.apply_event(Event::SetHealth(0, Health::Dead));
     world.run(6).unwrap();
-    world.happens(Event::Is(0, Health::Well));
+    world.apply_event(Event::SetHealth(0, Health::Well));
     while world.held[0].part < 0.4 {
         world.run(1).unwrap();
     }
-    let (part, epoch) = (world.held[0].part, world.held[0].epoch);
-    world.happens(Event::Anew);
+    let (fraction, epoch) = (world.held[0].part, world.held[0].epoch);
+    world.apply_event(Event::ServiceRestart);
     world.run(5).unwrap();
-    assert!(world.held[0].epoch >= epoch && world.held[0].part >= part - 0.2, "{:?}", world.held[0]);
+    assert!(world.held[0].epoch >= epoch && world.held[0].part >= fraction - 0.2, "{:?}", world.held[0]);
     world.run(30).unwrap();
     assert_eq!(world.held[0].stage, Stage::Serving);
 }
 
-/// The last zone that is well is not left, and an operator is told why; nor is any where all are dead: that is no zone's
-/// own fault.
+/// The last well zone is not evacuated, and operators are shown the reason. Where all zones are dead none is evacuated: the
+/// cause is then not in a single zone.
 #[test]
-fn the_last_zone_is_never_left() {
+fn the_last_zone_is_never_evacuated() {
     let mut world = World::new(2, 0, 0.0);
     world.run(8).unwrap();
-    world.happens(Event::Is(0, Health::Dead));
-    world.happens(Event::Is(1, Health::Dead));
+    world.apply_event(Event::SetHealth(0, Health::Dead));
+    world.apply_event(Event::SetHealth(1, Health::Dead));
     world.run(20).unwrap();
     assert!(world.held.iter().all(|held| held.part == 1.0), "{:?}", world.held);
-    assert!(world.fleet.zones.iter().any(|zone| zone.why == Why::Last));
+    assert!(world.controller.zones.iter().any(|zone| zone.why == Why::Last));
 }
 
-/// Where what remains bears 80% of the traffic, the rest is shed and the verdict says so; where an operator leaves a zone
-/// that lives, it keeps what the others don't bear.
+/// Where the remaining zones have the capacity for 80% of the traffic, the rest is shed and the verdict says so. A live zone
+/// that is evacuated by an operator's order keeps what the others lack the capacity for.
 #[test]
-fn what_remains_gets_no_more_than_it_bears() {
+fn the_remaining_zones_are_sent_no_more_than_their_capacity() {
     let mut world = World::new(2, 0, 1152.0);
     world.run(20).unwrap();
-    world.happens(Event::Is(0, Health::Dead));
+    world.apply_event(Event::SetHealth(0, Health::Dead));
     world.run(12).unwrap();
-    let sheds = world.held.iter().map(|held| held.sheds).fold(0.0, f64::max);
-    assert!((0.1..0.3).contains(&sheds), "{:?}", world.held);
+    let shed_fraction = world.held.iter().map(|held| held.sheds).fold(0.0, f64::max);
+    assert!((0.1..0.3).contains(&shed_fraction), "{:?}", world.held);
     let mut world = World::new(2, 0, 1152.0);
     world.run(20).unwrap();
-    world.happens(Event::Order(0, Order::Leave));
+    world.apply_event(Event::Order(0, Order::Leave));
     world.run(4).unwrap();
     assert!((0.2..0.6).contains(&world.held[0].part), "{:?}", world.held);
 }
--- a/crates/zones/tests/shedding.rs
+++ b/crates/zones/tests/shedding.rs
@@ -1,15 +1,16 @@
-//! What is shed while zones are left, as a closed loop: the part that is told decides what is sent, and what is sent
-//! decides the next part.
+//! Shedding while zones are evacuated, as a closed loop: the announced fraction decides what is sent, and what is sent
+//! decides the next fraction.
 
 use myrtlegauge_zones::ShedController;
 use std::time::Duration;
 
-const REPORTS_EVERY: Duration = Duration::from_millis(250);
-/// GETs a second that clients ask for, and that what remains bears.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// GETs a second that clients request.
 const RATE: f64 = 1440.0;
-const BEARS: f64 = 1152.0;
+/// GETs a second that the remaining zones have the capacity for.
+const CAPACITY: f64 = 1152.0;
 
-/// A key with a part of all GETs, that is among those shed from a part of the keys on.
+/// A key that carries a share of all GETs, and is among the keys that are shed from some fraction on.
 #[derive(Clone, Copy, Debug)]
 struct HotKey {
     share: f64,
@@ -17,64 +18,68 @@
 }
 
 impl HotKey {
-    /// Part of the GETs that is sent where so much of the keys is shed.
-    fn let_in(self, sheds: f64) -> f64 {
-        let hot = if sheds < self.shed_from { self.share } else { 0.0 };
-        (1.0 - self.share) * (1.0 - sheds) + hot
+    /// The fraction of the GETs that is sent while this fraction of the keys is shed.
+    fn admitted(self, shed_fraction: f64) -> f64 {
+        let hot = if shed_fraction < self.shed_from { self.share } else { 0.0 };
+        (1.0 - self.share) * (1.0 - shed_fraction) + hot
     }
 }
 
-/// The part that is shed and the GETs a second that are sent, by interval of reports, from the moment that a zone is left
-/// with so much asked for.
-fn play(hot: HotKey, first_asked: f64, intervals: u32) -> Vec<(f64, f64)> {
-    let (mut controller, mut sheds, mut seen) = (ShedController::default(), 0.0, Vec::new());
+/// The fraction that is shed and the GETs a second that are sent, by report interval, from the moment that a zone is
+/// evacuated at this GET rate.
+fn simulate(hot: HotKey, initial_rate: f64, intervals: u32) -> Vec<(f64, f64)> {
+    let (mut controller, mut shed_fraction, mut history) = (ShedController::default(), 0.0, Vec::new());
     for interval in 0..intervals {
-        let now = REPORTS_EVERY * interval;
+        let now = REPORT_INTERVAL * interval;
         if interval > 0 {
-            let sent = RATE * hot.let_in(sheds);
-            controller.record(sent * REPORTS_EVERY.as_secs_f64(), REPORTS_EVERY, now);
-            seen.push((sheds, sent));
+            let sent = RATE * hot.admitted(shed_fraction);
+            controller.record(sent * REPORT_INTERVAL.as_secs_f64(), REPORT_INTERVAL, now);
+            history.push((shed_fraction, sent));
         }
-        sheds = controller.adjust(BEARS, first_asked, REPORTS_EVERY, now).unwrap_or(sheds);
+        shed_fraction =
+            controller.adjust(CAPACITY, initial_rate, REPORT_INTERVAL, now).unwrap_or(shed_fraction);
     }
-    seen
+    history
 }
 
-/// Tries again make the traffic look half larger as the zone is left, and a hot key is shed with the rest. What is let in
-/// afterwards grows in steps, so that the hot key's return does not overload what remains.
+/// Retries make the traffic look larger by half as the zone is evacuated, and a hot key is shed with the rest. What is let
+/// in afterwards grows in steps, so that the return of the hot key does not overload the remaining zones.
 #[test]
-fn what_is_let_in_again_does_not_overload_what_remains() {
+fn lowering_the_shed_fraction_does_not_overload_the_remaining_zones() {
     for share in [0.05, 0.1, 0.15, 0.2, 0.25] {
         for shed_from in [0.25, 0.3, 0.35] {
             let hot = HotKey { share, shed_from };
-            let seen = play(hot, RATE * 1.5, 120);
-            assert!(seen[0].0 > 0.4, "{hot:?}: {seen:?}");
-            let most = seen.iter().map(|&(_, sent)| sent).fold(0.0, f64::max);
-            assert!(most <= BEARS * 1.1, "{hot:?}: {most:.0} GETs a second");
-            let (sheds, sent) = seen[seen.len() - 1];
-            assert!(sent >= BEARS * 0.85, "{hot:?}: sheds {sheds:.2} for ever, {sent:.0} GETs a second");
+            let history = simulate(hot, RATE * 1.5, 120);
+            assert!(history[0].0 > 0.4, "{hot:?}: {history:?}");
+            let max_sent = history.iter().map(|&(_, sent)| sent).fold(0.0, f64::max);
+            assert!(max_sent <= CAPACITY * 1.1, "{hot:?}: {max_sent:.0} GETs a second");
+            let (shed_fraction, sent) = history[history.len() - 1];
+            assert!(
+                sent >= CAPACITY * 0.85,
+                "{hot:?}: the shed fraction stays at {shed_fraction:.2}, {sent:.0} GETs a second"
+            );
         }
     }
 }
 
-/// A part that was too small is raised as soon as three reports show it.
+/// A fraction that is too small is raised as soon as three reports show it.
 #[test]
-fn too_little_shed_is_raised_within_a_second() {
+fn a_shed_fraction_that_is_too_small_is_raised_within_a_second() {
     let hot = HotKey { share: 0.2, shed_from: 0.9 };
-    let seen = play(hot, BEARS * 1.1, 12);
-    assert!(seen[0].1 > BEARS * 1.05, "{seen:?}");
-    assert!(seen[4].1 <= BEARS * 1.05, "{seen:?}");
+    let history = simulate(hot, CAPACITY * 1.1, 12);
+    assert!(history[0].1 > CAPACITY * 1.05, "{history:?}");
+    assert!(history[4].1 <= CAPACITY * 1.05, "{history:?}");
 }
 
-/// Intervals that began before the part was told anew say nothing of it.
+/// Intervals that began before the last change of the fraction are not measured.
 #[test]
-fn only_what_was_sent_under_the_told_part_counts() {
+fn only_gets_sent_under_the_announced_fraction_are_measured() {
     let mut controller = ShedController::default();
-    assert_eq!(controller.adjust(750.0, 1000.0, REPORTS_EVERY, Duration::ZERO), Some(0.25));
+    assert_eq!(controller.adjust(750.0, 1000.0, REPORT_INTERVAL, Duration::ZERO), Some(0.25));
     for interval in 1..=8 {
         let sent = if interval == 1 { 5000.0 } else { 750.0 };
-        let now = REPORTS_EVERY * interval;
-        controller.record(sent * REPORTS_EVERY.as_secs_f64(), REPORTS_EVERY, now);
-        assert_eq!(controller.adjust(750.0, 0.0, REPORTS_EVERY, now), None);
+        let now = REPORT_INTERVAL * interval;
+        controller.record(sent * REPORT_INTERVAL.as_secs_f64(), REPORT_INTERVAL, now);
+        assert_eq!(controller.adjust(750.0, 0.0, REPORT_INTERVAL, now), None);
     }
 }
