--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -1,5 +1,5 @@
-//! A dispatcher of another installation: told in an operator file, it takes GETs as the platform's does, and follows control
-//! services on zones over the streams that they speak. Nothing is decided here.
+//! A dispatcher of another installation, configured by an operator file. It takes GETs as the platform's dispatcher does,
+//! and follows control services on zones over gRPC streams. No decisions are made here.
 
 pub mod stream;
 
@@ -11,46 +11,46 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Runs a dispatcher until it is told to end. SIGHUP reads where the change log is again.
+/// Runs a dispatcher until it is signalled to shut down. On SIGHUP the address of the change log is read again.
 ///
 /// # Errors
-/// A file without a dispatcher in it, an address that can't be listened on.
+/// The file configures no dispatcher, or an address cannot be listened on.
 pub fn run(path: PathBuf, file: &OperatorFile) -> Result<(), String> {
     run_with(path, file, SubscriberDefences::default())
 }
 
-/// The same with some of the subscriber's defences switched off, for proofs.
+/// Runs a dispatcher with some of the subscriber's defences switched off, for proofs.
 ///
 /// # Errors
-/// As of [`run`].
+/// The same as those of [`run`].
 pub fn run_with(path: PathBuf, file: &OperatorFile, defences: SubscriberDefences) -> Result<(), String> {
-    // Before any thread is started: each takes over which signals are kept for the loop.
+    // Precedes the start of any thread: each thread inherits the mask of signals that are kept for the event loop.
     let signals = program::signals()?;
-    let told = file.dispatcher.as_ref().ok_or("the file tells of no dispatcher")?;
-    let zones = if told.follow.is_empty() {
+    let dispatcher = file.dispatcher.as_ref().ok_or("the operator file configures no dispatcher")?;
+    let zones = if dispatcher.follow.is_empty() {
         None
     } else {
-        let (says, news) = calloop::channel::channel();
-        let following = stream::Following {
-            name: told.name.clone(),
+        let (news_sender, news) = calloop::channel::channel();
+        let stream_settings = stream::StreamSettings {
+            name: dispatcher.name.clone(),
             zones: file.zones.iter().map(|zone| zone.name.clone()).collect(),
             services: file.services.clone(),
-            to: told.follow.clone(),
+            control_services: dispatcher.follow.clone(),
         };
-        let reports = stream::start(following, says)?;
+        let reports = stream::start(stream_settings, news_sender)?;
         let report = Box::new(move |report| drop(reports.send(std::sync::Arc::new(report))));
-        Some(ZonePort { news, report, every: told.reports_every })
+        Some(ZonePort { news, report, every: dispatcher.reports_every })
     };
-    let member = told.peers.as_ref().map(|peers| driver::Startup {
-        name: told.name.clone(),
+    let member = dispatcher.peers.as_ref().map(|peers| driver::Startup {
+        name: dispatcher.name.clone(),
         fleet: peers.fleet.clone(),
         listen: peers.listen,
         reached_at: peers.reached_at,
         peers: peers.peers.clone(),
         told: peers.told,
     });
-    let replicas = told.replicas.map(|replicas| ReplicasStartup {
-        name: told.name.clone(),
+    let replicas = dispatcher.replicas.map(|replicas| ReplicasStartup {
+        name: dispatcher.name.clone(),
         primary: replicas.primary,
         fallback: replicas.fallback,
         doubt_after: replicas.doubt_after,
@@ -58,23 +58,26 @@
         defences,
     });
     let startup = Startup {
-        listen: told.listen,
-        changelog: told.change_log,
+        listen: dispatcher.listen,
+        changelog: dispatcher.change_log,
         known: Changes { last_seq: 0, results: Vec::new() },
         facts: &file.facts,
         seed: fastrand::u64(..),
-        room: Room { descriptors: told.sockets, memory: told.memory_mb << 20 },
+        room: Room { descriptors: dispatcher.sockets, memory: dispatcher.memory_mb << 20 },
         guards: Guards::ALL,
         zones,
         member,
         replicas,
     };
-    program::serve(signals, &told.name, startup, move || change_log(&path))
+    program::serve(signals, &dispatcher.name, startup, move || change_log_address(&path))
 }
 
-fn change_log(path: &Path) -> Result<SocketAddr, String> {
+/// Reads the address of the change log from the operator file.
+fn change_log_address(path: &Path) -> Result<SocketAddr, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
     let file = myrtlegauge_operator::read(&text)
         .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
-    file.dispatcher.map(|told| told.change_log).ok_or_else(|| "the file tells of no dispatcher".into())
+    file.dispatcher
+        .map(|dispatcher| dispatcher.change_log)
+        .ok_or_else(|| "the operator file configures no dispatcher".into())
 }
--- a/crates/follow/src/stream.rs
+++ b/crates/follow/src/stream.rs
@@ -1,4 +1,5 @@
-//! The streams to control services, on tokio on a thread of their own: verdicts and leases in, evidence out.
+//! The gRPC streams to control services, in a tokio runtime on a thread of its own. Verdicts and leases are received,
+//! evidence is sent.
 
 use calloop::channel::Sender;
 use envoy_types::pb::envoy::config::core::v3::Node;
@@ -20,61 +21,73 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::{Channel, Endpoint};
 
-/// Time to connect, and pauses before a service that was lost is tried again, scattered: a fleet must not come back to a
-/// restarted one in one moment.
-const CONNECT: Duration = Duration::from_millis(300);
-const PAUSE_MS: std::ops::Range<u64> = 20..120;
-/// A connection that is dead without a word is found in this much and the same again.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The backoff before an ended stream is opened again, drawn at random: a fleet must not reconnect to a restarted service
+/// all at once.
+const RECONNECT_BACKOFF_MS: std::ops::Range<u64> = 20..120;
+/// Both the keep-alive interval and its timeout: a connection that died silently is detected within twice this time.
 const KEEPALIVE: Duration = Duration::from_millis(1000);
 
-pub struct Following {
+/// What the streams need of this dispatcher's settings.
+pub struct StreamSettings {
+    /// This dispatcher's name.
     pub name: String,
     pub zones: Vec<String>,
+    /// The names of the delivery services, by index.
     pub services: Vec<String>,
-    pub to: Vec<SocketAddr>,
+    /// The addresses of the control services to follow.
+    pub control_services: Vec<SocketAddr>,
 }
 
-pub type Reports = watch::Sender<Arc<ZoneReport>>;
+/// Where reports are handed to the streams. Each stream sends the latest one.
+pub type ReportSender = watch::Sender<Arc<ZoneReport>>;
 
-/// Follows all services until the process ends; reports that are sent go to each of them.
-pub fn start(following: Following, says: Sender<ZoneNews>) -> Result<Reports, String> {
-    let (reports, reported) = watch::channel(Arc::new(ZoneReport::default()));
+/// Follows all control services until the process ends. Verdicts and leases go to `news`; reports that are handed to the
+/// returned sender go to each service.
+pub fn start(settings: StreamSettings, news: Sender<ZoneNews>) -> Result<ReportSender, String> {
+    let (report_sender, latest_report) = watch::channel(Arc::new(ZoneReport::default()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime for gRPC: {e}"))?;
-    let following = Arc::new(following);
+    let runtime =
+        runtime.map_err(|e| format!("cannot create the runtime for streams to control services: {e}"))?;
+    let settings = Arc::new(settings);
     let run = move || {
         runtime.block_on(async move {
-            let mut all = tokio::task::JoinSet::new();
-            for &to in &following.to {
-                let (of, says, reported) = (Arc::clone(&following), says.clone(), reported.clone());
-                all.spawn(async move {
+            let mut streams = tokio::task::JoinSet::new();
+            for &service in &settings.control_services {
+                let (settings, news, latest_report) =
+                    (Arc::clone(&settings), news.clone(), latest_report.clone());
+                streams.spawn(async move {
                     tokio::join!(
-                        again(|| verdicts(&of, to, &says)),
-                        again(|| report(&of, to, reported.clone()))
+                        reopen_forever(service, || receive_verdicts(&settings, service, &news)),
+                        reopen_forever(service, || send_reports(&settings, service, latest_report.clone()))
                     )
                 });
             }
-            all.join_all().await;
+            streams.join_all().await;
         });
     };
     let thread = std::thread::Builder::new().name("follow".into()).spawn(run);
-    thread.map_err(|e| format!("no thread for gRPC: {e}"))?;
-    Ok(reports)
+    thread.map_err(|e| format!("cannot start the thread for streams to control services: {e}"))?;
+    Ok(report_sender)
 }
 
-async fn again<F: Future<Output = Result<(), String>>>(mut stream: impl FnMut() -> F) {
+/// Runs a stream to a control service, and opens it again after a backoff each time that it ends.
+async fn reopen_forever<F: Future<Output = Result<(), String>>>(
+    service: SocketAddr,
+    mut run_stream: impl FnMut() -> F,
+) {
     loop {
-        if let Err(why) = stream().await {
-            log::debug!("a control service is lost: {why}");
+        if let Err(error) = run_stream().await {
+            log::debug!("stream to control service {service} failed, opening it again: {error}");
         }
-        tokio::time::sleep(Duration::from_millis(fastrand::u64(PAUSE_MS))).await;
+        tokio::time::sleep(Duration::from_millis(fastrand::u64(RECONNECT_BACKOFF_MS))).await;
     }
 }
 
-async fn connected(to: SocketAddr) -> Result<Channel, String> {
-    let endpoint = Endpoint::from_shared(format!("http://{to}")).map_err(|e| e.to_string())?;
+async fn connect(service: SocketAddr) -> Result<Channel, String> {
+    let endpoint = Endpoint::from_shared(format!("http://{service}")).map_err(|e| e.to_string())?;
     let endpoint = endpoint
-        .connect_timeout(CONNECT)
+        .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
         .http2_keep_alive_interval(KEEPALIVE)
         .keep_alive_timeout(KEEPALIVE);
@@ -85,102 +98,112 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// One stream of verdicts, to its end.
-async fn verdicts(of: &Following, to: SocketAddr, says: &Sender<ZoneNews>) -> Result<(), String> {
-    let said = |status: tonic::Status| status.to_string();
-    let mut client = AggregatedDiscoveryServiceClient::new(connected(to).await?);
-    let (out, requests) = mpsc::channel(8);
-    let names = of.zones.iter().map(|zone| messages::zone_name(zone)).collect();
-    for (kind, names) in [(Kind::Notice, names), (Kind::Assignment, vec![BY_HOST.to_owned()])] {
+/// Runs one stream of verdicts to its end.
+async fn receive_verdicts(
+    settings: &StreamSettings,
+    service: SocketAddr,
+    news: &Sender<ZoneNews>,
+) -> Result<(), String> {
+    let describe = |status: tonic::Status| status.to_string();
+    let mut client = AggregatedDiscoveryServiceClient::new(connect(service).await?);
+    let (request_sender, requests) = mpsc::channel(8);
+    let zone_names = settings.zones.iter().map(|zone| messages::zone_name(zone)).collect();
+    for (kind, names) in [(Kind::Notice, zone_names), (Kind::Assignment, vec![BY_HOST.to_owned()])] {
         let request = DeltaDiscoveryRequest {
-            node: Some(Node { id: of.name.clone(), ..Default::default() }),
+            node: Some(Node { id: settings.name.clone(), ..Default::default() }),
             type_url: kind.url().into(),
             resource_names_subscribe: names,
             ..Default::default()
         };
-        out.send(request).await.map_err(|e| e.to_string())?;
+        request_sender.send(request).await.map_err(|e| e.to_string())?;
     }
-    let answers = client.delta_aggregated_resources(ReceiverStream::new(requests)).await.map_err(said)?;
-    let (mut answers, mut heard) = (answers.into_inner(), BTreeSet::new());
-    while let Some(response) = answers.message().await.map_err(said)? {
+    let responses =
+        client.delta_aggregated_resources(ReceiverStream::new(requests)).await.map_err(describe)?;
+    let (mut responses, mut received_zones) = (responses.into_inner(), BTreeSet::new());
+    while let Some(response) = responses.message().await.map_err(describe)? {
         let (nonce, url) = (response.nonce.clone(), response.type_url.clone());
-        let told = Told::from(response);
-        let mut refused = None;
-        for resource in told.resources.iter().filter(|_| told.kind == Some(Kind::Notice)) {
+        let update = Told::from(response);
+        let mut rejection = None;
+        for resource in update.resources.iter().filter(|_| update.kind == Some(Kind::Notice)) {
             let Some(body) = &resource.body else { continue };
-            match verdict(body) {
+            match read_verdict(body) {
                 Ok((zone, line)) => {
                     let lead = Duration::from_millis(line.from_unix_ms.saturating_sub(unix_ms()));
-                    heard.insert(zone.clone());
-                    let news = ZoneNews::Verdict { zone, verdict: line.verdict(), lead };
-                    says.send(news).map_err(|_| "the dispatcher ends")?;
+                    received_zones.insert(zone.clone());
+                    let verdict = ZoneNews::Verdict { zone, verdict: line.verdict(), lead };
+                    news.send(verdict).map_err(|_| "the dispatcher is shutting down")?;
                 }
-                Err(why) => refused = Some(why.to_owned()),
+                Err(error) => rejection = Some(error.to_owned()),
             }
         }
-        // A lease vouches for what was told before it: for nothing before all zones were.
-        let ttl = told.resources.iter().filter_map(|resource| resource.ttl).max();
-        if let (Some(ttl), Some(written), true) = (ttl, written_at(&nonce), heard.len() == of.zones.len()) {
-            let old = Duration::from_millis(unix_ms().saturating_sub(written));
-            let left = ttl.saturating_sub(old);
-            says.send(ZoneNews::Lease(left)).map_err(|_| "the dispatcher ends")?;
+        // A lease covers the verdicts that were sent before it. It counts only once the verdicts on all zones were received.
+        let has_all_zones = received_zones.len() == settings.zones.len();
+        let ttl = update.resources.iter().filter_map(|resource| resource.ttl).max();
+        if let (Some(ttl), Some(written_unix_ms), true) = (ttl, written_at(&nonce), has_all_zones) {
+            let age = Duration::from_millis(unix_ms().saturating_sub(written_unix_ms));
+            let remaining = ttl.saturating_sub(age);
+            news.send(ZoneNews::Lease(remaining)).map_err(|_| "the dispatcher is shutting down")?;
         }
-        let error_detail = refused.map(|message| envoy_types::pb::google::rpc::Status {
+        let error_detail = rejection.map(|message| envoy_types::pb::google::rpc::Status {
             code: 3,
             message,
             ..Default::default()
         });
-        let answer = DeltaDiscoveryRequest {
+        let acknowledgement = DeltaDiscoveryRequest {
             type_url: url,
             response_nonce: nonce,
             error_detail,
             ..Default::default()
         };
-        out.send(answer).await.map_err(|e| e.to_string())?;
+        request_sender.send(acknowledgement).await.map_err(|e| e.to_string())?;
     }
     Ok(())
 }
 
-fn verdict(body: &[u8]) -> Result<(String, ZoneLine), &'static str> {
+/// The zone and the verdict of a notice.
+fn read_verdict(body: &[u8]) -> Result<(String, ZoneLine), &'static str> {
     let (name, fields) = messages::read_notice(body)?;
-    let zone = messages::zone_named(&name).ok_or("a notice that names no zone")?;
+    let zone = messages::zone_named(&name).ok_or("the notice's name is not that of a zone")?;
     Ok((zone.to_owned(), ZoneLine::read(&fields)?))
 }
 
-/// One stream of evidence, to its end.
-async fn report(
-    of: &Following,
-    to: SocketAddr,
-    mut reported: watch::Receiver<Arc<ZoneReport>>,
+/// Runs one stream of evidence to its end.
+async fn send_reports(
+    settings: &StreamSettings,
+    service: SocketAddr,
+    mut latest_report: watch::Receiver<Arc<ZoneReport>>,
 ) -> Result<(), String> {
-    let said = |status: tonic::Status| status.to_string();
-    let mut client = LoadReportingServiceClient::new(connected(to).await?);
-    let (out, reports) = mpsc::channel(2);
-    let first = LoadStatsRequest { node: Some(node(of, &ZoneReport::default())), ..Default::default() };
-    out.send(first).await.map_err(|e| e.to_string())?;
-    let mut answers =
-        client.stream_load_stats(ReceiverStream::new(reports)).await.map_err(said)?.into_inner();
-    answers.message().await.map_err(said)?.ok_or("it ended")?;
+    let describe = |status: tonic::Status| status.to_string();
+    let mut client = LoadReportingServiceClient::new(connect(service).await?);
+    let (request_sender, requests) = mpsc::channel(2);
+    let first = LoadStatsRequest { node: Some(node(settings, &ZoneReport::default())), ..Default::default() };
+    request_sender.send(first).await.map_err(|e| e.to_string())?;
+    let mut responses =
+        client.stream_load_stats(ReceiverStream::new(requests)).await.map_err(describe)?.into_inner();
+    let first_response = responses.message().await.map_err(describe)?;
+    first_response.ok_or("the control service closed the report stream without an answer")?;
     loop {
         tokio::select! {
-            changed = reported.changed() => changed.map_err(|e| e.to_string())?,
-            ended = answers.message() => return ended.map(drop).map_err(said),
+            changed = latest_report.changed() => changed.map_err(|e| e.to_string())?,
+            ended = responses.message() => return ended.map(drop).map_err(describe),
         }
-        let latest = Arc::clone(&reported.borrow_and_update());
-        out.send(message(of, &latest)).await.map_err(|e| e.to_string())?;
+        let report = Arc::clone(&latest_report.borrow_and_update());
+        request_sender.send(load_stats_request(settings, &report)).await.map_err(|e| e.to_string())?;
     }
 }
 
-fn node(of: &Following, report: &ZoneReport) -> Node {
+/// This dispatcher as a node, with the verdicts that it holds.
+fn node(settings: &StreamSettings, report: &ZoneReport) -> Node {
     let held = report.held.iter().map(|(zone, verdict)| (zone.as_str(), ZoneLine::of(verdict, 0)));
     Node {
-        id: of.name.clone(),
+        id: settings.name.clone(),
         metadata: Some(messages::zones_held(held, report.taken)),
         ..Default::default()
     }
 }
 
-fn message(of: &Following, report: &ZoneReport) -> LoadStatsRequest {
+/// A report as the published message.
+fn load_stats_request(settings: &StreamSettings, report: &ZoneReport) -> LoadStatsRequest {
     let metric = |name: String, count: u64, total: u64| endpoint::EndpointLoadMetricStats {
         metric_name: name,
         num_requests_finished_with_metric: count,
@@ -190,7 +213,7 @@
         let SeenHost { returned, errored, late, fills } = seen;
         let fills =
             fills.iter().enumerate().filter(|(_, (all, _))| *all > 0).filter_map(|(ds, (all, bad))| {
-                Some(metric(format!("fills/{}", of.services.get(ds)?), *all, *bad))
+                Some(metric(format!("fills/{}", settings.services.get(ds)?), *all, *bad))
             });
         endpoint::UpstreamEndpointStats {
             address: Some(messages::address_of(*address)),
@@ -208,5 +231,5 @@
         upstream_locality_stats: vec![locality],
         ..Default::default()
     };
-    LoadStatsRequest { node: Some(node(of, report)), cluster_stats: vec![cluster] }
+    LoadStatsRequest { node: Some(node(settings, report)), cluster_stats: vec![cluster] }
 }
--- a/crates/lab/src/fleet/zones.rs
+++ b/crates/lab/src/fleet/zones.rs
@@ -13,7 +13,7 @@
 use envoy_types::pb::envoy::service::load_stats::v3::load_reporting_service_client::LoadReportingServiceClient;
 use myrtlegauge_control::messages::address_of;
 use myrtlegauge_dispatcher::routing::ZoneNews;
-use myrtlegauge_follow::stream::{self, Following};
+use myrtlegauge_follow::stream::{self, StreamSettings};
 use myrtlegauge_zones::Verdict;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -142,14 +142,14 @@
         return seen;
     }
     let (says, news) = calloop::channel::channel();
-    let following = Following {
+    let settings = StreamSettings {
         name: "observer".into(),
         zones: (0..64).map(zone_name).collect(),
         services: Vec::new(),
-        to: services.iter().map(|service| service.address).collect(),
+        control_services: services.iter().map(|service| service.address).collect(),
     };
     let notes = Arc::clone(&seen);
-    let Ok(reports) = stream::start(following, says) else { return seen };
+    let Ok(reports) = stream::start(settings, says) else { return seen };
     std::thread::spawn(move || {
         let _reports = reports;
         while let Ok(news) = news.recv() {
