--- a/crates/dispatcher/src/routing/mod.rs
+++ b/crates/dispatcher/src/routing/mod.rs
@@ -137,11 +137,11 @@
     }
 
     /// What changed among the members: logged, and what it comes to for the sources is told to the module.
-    fn member_told(&mut self, told: driver::Told<'_>) {
-        let (view, sharers) = (told.view, told.sharers);
+    fn member_told(&mut self, update: driver::ViewUpdate<'_>) {
+        let (view, sharers) = (update.view, update.source_sharers);
         let (epoch, here, doubted, gone, known) =
-            (view.epoch, view.here, view.doubted, view.gone, view.known);
-        let (reach, change) = (view.reach, told.change);
+            (view.epoch, view.alive, view.suspect, view.dead, view.known);
+        let (reach, change) = (view.reach, update.change);
         log::info!(epoch, here, doubted, gone, known, reach:?, sharers, change:?; "members");
         self.proxy.sharers = Some(sharers);
     }
@@ -298,7 +298,7 @@
     pub fn report(&self) {
         self.proxy.report();
         if let Some(member) = &self.member {
-            log::info!("{}", member.line());
+            log::info!("{}", member.summary());
         }
         if let Some(replicas) = &self.proxy.replicas {
             log::info!("{}", replicas.line());
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -45,9 +45,9 @@
         name: dispatcher.name.clone(),
         fleet: peers.fleet.clone(),
         listen: peers.listen,
-        reached_at: peers.reached_at,
-        peers: peers.peers.clone(),
-        told: peers.told,
+        advertised: peers.reached_at,
+        seed_peers: peers.peers.clone(),
+        expected_members: peers.told,
     });
     let replicas = dispatcher.replicas.map(|replicas| ReplicasStartup {
         name: dispatcher.name.clone(),
--- a/crates/lab/src/capacity/hollow/dispatcher.rs
+++ b/crates/lab/src/capacity/hollow/dispatcher.rs
@@ -231,12 +231,13 @@
         name: name.to_owned(),
         fleet: told.fleet.clone(),
         listen: told.listen,
-        reached_at: Some(told.reached_at),
-        peers: told.peers.clone(),
-        told: told.told,
+        advertised: Some(told.reached_at),
+        seed_peers: told.peers.clone(),
+        expected_members: told.told,
+    };
+    let heard = |hollow: &mut HollowDispatcher, update: driver::ViewUpdate<'_>| {
+        hollow.wire.sharers = Some(update.source_sharers);
     };
-    let heard =
-        |hollow: &mut HollowDispatcher, told: driver::Told<'_>| hollow.wire.sharers = Some(told.sharers);
     Member::start(hub, &startup, heard).map_err(|e| e.to_string())
 }
 
--- a/crates/lab/src/capacity/members.rs
+++ b/crates/lab/src/capacity/members.rs
@@ -12,7 +12,7 @@
 use crate::stand::between::Between;
 use crate::stand::net::Net;
 use crate::stand::process::own_address_of;
-use myrtlegauge_membership::State;
+use myrtlegauge_membership::MemberState;
 use myrtlegauge_membership::message::Exchange;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -180,7 +180,7 @@
         let dead = count - 1;
         drop(self.processes.pop());
         let knows = |view: &Exchange| {
-            view.lines.iter().any(|line| number(line) == Some(dead) && line.state == State::Gone)
+            view.records.iter().any(|line| number(line) == Some(dead) && line.state == MemberState::Dead)
         };
         let all_know =
             |views: &BTreeMap<usize, Exchange>| views.len() + 1 == count && views.values().all(knows);
@@ -191,7 +191,8 @@
 /// Whether each holds all others for here, and has most.
 fn is_whole(count: usize) -> impl Fn(&BTreeMap<usize, Exchange>) -> bool {
     move |views| {
-        let here = |view: &Exchange| view.lines.iter().filter(|line| line.state == State::Here).count();
-        views.len() == count && views.values().all(|view| view.most && here(view) + 1 == count)
+        let here =
+            |view: &Exchange| view.records.iter().filter(|line| line.state == MemberState::Alive).count();
+        views.len() == count && views.values().all(|view| view.reaches_most && here(view) + 1 == count)
     }
 }
--- a/crates/lab/src/membership.rs
+++ b/crates/lab/src/membership.rs
@@ -6,8 +6,8 @@
 use crate::stand::process::{Dispatcher, own_address_of};
 use crate::stand::{self, watch};
 use clap::ValueEnum;
-use myrtlegauge_membership::message::{Body, Datagram, Exchange, Line, fleet_number, read, write};
-use myrtlegauge_membership::{Life, State};
+use myrtlegauge_membership::message::{Body, Datagram, Exchange, MemberRecord, decode, encode, fleet_id};
+use myrtlegauge_membership::{MemberState, MemberVersion};
 use rustix::process::Signal;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -100,21 +100,26 @@
 
 /// All that a member knows; none if it does not say so in time.
 pub async fn ask(at: SocketAddr) -> Option<Exchange> {
-    let said =
-        write(&Exchange { fleet: fleet_number(FLEET), from: None, epoch: 0, most: false, lines: vec![] });
+    let said = encode(&Exchange {
+        fleet: fleet_id(FLEET),
+        from: None,
+        epoch: 0,
+        reaches_most: false,
+        records: vec![],
+    });
     let talk = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
         stream.write_all(&said).await.ok()?;
         stream.shutdown().await.ok()?;
         let mut all = Vec::new();
         stream.read_to_end(&mut all).await.ok()?;
-        read::<Exchange>(&all, 1 << 20).ok()
+        decode::<Exchange>(&all, 1 << 20).ok()
     };
     tokio::time::timeout(Duration::from_millis(300), talk).await.ok().flatten()
 }
 
 /// The number of the member that a line is about.
-pub fn number(line: &Line) -> Option<usize> {
+pub fn number(line: &MemberRecord) -> Option<usize> {
     line.name.strip_prefix('d')?.parse().ok()
 }
 
@@ -147,7 +152,7 @@
         }
         let views: Views = asked.join_all().await.into_iter().flatten().collect();
         for (by, view) in &views {
-            for line in view.lines.iter().filter(|line| line.state == State::Gone) {
+            for line in view.records.iter().filter(|line| line.state == MemberState::Dead) {
                 let of = number(line).unwrap_or(usize::MAX);
                 if !may.contains(&of) && !may.contains(by) {
                     self.wrong.push(format!("d{by} holds {} for gone", line.name));
@@ -175,8 +180,8 @@
             let live: Vec<_> = (0..self.count()).filter(|&index| !self.down[index]).collect();
             let whole = |by: &usize| {
                 views.get(by).is_some_and(|view| {
-                    let here = view.lines.iter().filter(|line| line.state == State::Here);
-                    view.most
+                    let here = view.records.iter().filter(|line| line.state == MemberState::Alive);
+                    view.reaches_most
                         && here.filter_map(number).filter(|of| live.contains(of)).count() + 1 == live.len()
                 })
             };
@@ -233,7 +238,9 @@
                 loop {
                     let views = self.views(&[dead]).await;
                     let knows = |view: &Exchange| {
-                        view.lines.iter().any(|line| number(line) == Some(dead) && line.state == State::Gone)
+                        view.records
+                            .iter()
+                            .any(|line| number(line) == Some(dead) && line.state == MemberState::Dead)
                     };
                     if views.len() + 1 == count && views.values().all(knows) {
                         break;
@@ -281,7 +288,7 @@
                         self.cut(from, to);
                     }
                     let views = self.watch(s(5), &[one]).await;
-                    let most = |index: usize| views.get(&index).is_some_and(|view| view.most);
+                    let most = |index: usize| views.get(&index).is_some_and(|view| view.reaches_most);
                     if most(one) {
                         breaks.push(format!("d{one} is out and holds that it reaches most"));
                     }
@@ -301,7 +308,7 @@
                         (0..count).filter(|to| to % parts != from % parts).for_each(|to| self.cut(from, to));
                     }
                     let views = self.watch(s(4), &all).await;
-                    let most = views.values().filter(|view| view.most).count();
+                    let most = views.values().filter(|view| view.reaches_most).count();
                     if most > 0 {
                         breaks.push(format!(
                             "{most} of a fleet in {parts} equal parts hold that they reach most"
@@ -332,14 +339,14 @@
             }
             Case::Liar | Case::Flood => {
                 let views = self.views(&[]).await;
-                let known = views.values().next().map(|view| view.lines.clone()).unwrap_or_default();
+                let known = views.values().next().map(|view| view.records.clone()).unwrap_or_default();
                 let gone: Vec<_> =
-                    known.into_iter().map(|line| Line { state: State::Gone, ..line }).collect();
-                let from = Line {
+                    known.into_iter().map(|line| MemberRecord { state: MemberState::Dead, ..line }).collect();
+                let from = MemberRecord {
                     name: "d0".into(),
-                    at: self.between.reached[0],
-                    life: Life { generation: 1, incarnation: 0 },
-                    state: State::Here,
+                    address: self.between.reached[0],
+                    version: MemberVersion { generation: 1, incarnation: 0 },
+                    state: MemberState::Alive,
                 };
                 let liar = UdpSocket::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
                 let (began, before) =
@@ -353,10 +360,10 @@
                 let flooding = tokio::spawn(async move {
                     for number in 0..if case == Case::Flood { 40_000 } else { 400 } {
                         for (&to, lines) in to.iter().zip(gone.chunks(6).cycle()) {
-                            let (fleet, from) = (fleet_number(FLEET), from.clone());
+                            let (fleet, from) = (fleet_id(FLEET), from.clone());
                             let lines = if case == Case::Liar { lines.to_vec() } else { Vec::new() };
-                            let body = Body::Ping { number };
-                            let mut said = write(&Datagram { fleet, from, body, lines });
+                            let body = Body::Ping { seq: number };
+                            let mut said = encode(&Datagram { fleet, from, body, records: lines });
                             if case == Case::Flood && number % 2 == 0 {
                                 said.reverse();
                             }
--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -1,186 +1,208 @@
-//! The core: members, probes, doubts. No I/O, no clock, no order of a hash.
+//! The membership core: member records, probes and suspicion. It has no I/O and no clock, and its order never depends on a
+//! hash.
 
 use crate::errors::MembershipError;
-use crate::health::{Bucket, EVERY, Health, LOOKS, Look, PATIENCE, PAUSE};
+use crate::health::{
+    EXCHANGE_TIMEOUT, ExchangeFailure, Health, PAUSE_THRESHOLD, PROBE_INTERVAL, PROBE_TIMEOUT, TokenBucket,
+};
 use crate::message::{
-    Body, DATAGRAM_MOST, Datagram, EXCHANGE_MOST, Exchange, LINES_MOST, Life, Line, NAME_MOST, State,
-    fleet_number, read, write,
+    Body, Datagram, Exchange, MAX_DATAGRAM_BYTES, MAX_EXCHANGE_BYTES, MAX_GOSSIPED_RECORDS, MAX_NAME_BYTES,
+    MemberRecord, MemberState, MemberVersion, decode, encode, fleet_id,
 };
-use crate::refused_lives::RefusedLives;
+use crate::refused_versions::RefusedVersions;
 use crate::view::{Change, Reach, View};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Others asked to ping one who did not answer: with three, one bad way among them is no matter.
-const HELPERS: usize = 3;
-/// Members told of a doubt, a death or a return at once; the rest hear it with what is said anyway.
-const TOLD_AT_ONCE: usize = 3;
-/// Times that a line travels, for each doubling of the fleet.
-const TRAVELS: u32 = 3;
-/// Between two looks at one doubted member.
-const LOOK_AGAIN: Duration = Duration::from_millis(1000);
-/// Between two full exchanges, at least, and bytes a second that they may come to at any size.
-const EXCHANGES: Duration = Duration::from_secs(15);
-const EXCHANGED_A_SECOND: f64 = 250.0;
-/// Between two tries to reach one that is gone, or a peer that was told and is not known.
-const REACHES: Duration = Duration::from_millis(1500);
-/// A member gone for so long is no part of the last known fleet any more, where most are reached.
-const FORGET: Duration = Duration::from_secs(600);
-/// Members held: made-up names must not fill the memory.
-const MEMBERS_MOST: usize = 4096;
-/// Accusers and vouchers remembered of a member.
-const NAMES_MOST: usize = 4;
-
-/// Who this member is.
+/// Members asked for an indirect probe: with three, one bad network path among them does not matter.
+const INDIRECT_PROBES: usize = 3;
+/// Members that receive a change at once. The others receive it with messages that are sent anyway.
+const IMMEDIATE_GOSSIP: usize = 3;
+/// The retransmit limit of a record, for each doubling of the fleet.
+const RETRANSMITS_PER_DOUBLING: u32 = 3;
+/// Between two exchanges with the same suspect.
+const SUSPECT_EXCHANGE_INTERVAL: Duration = Duration::from_millis(1000);
+/// The minimum time between two anti-entropy exchanges.
+const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_secs(15);
+/// The bytes a second that anti-entropy exchanges may come to, at any size of the fleet.
+const EXCHANGE_BYTES_PER_SECOND: f64 = 250.0;
+/// Between two attempts to reach a dead member, or a seed peer that is not known.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(1500);
+/// After this time a dead member no longer counts as part of the last known fleet, where this member reaches most of it.
+const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// Members recorded, so that made-up names cannot fill the memory.
+const MAX_MEMBERS: usize = 4096;
+/// Accusers, and vouchers, recorded for a member.
+const MAX_WITNESSES: usize = 4;
+/// Indirect probes for other members that may be in progress.
+const MAX_RELAYED_PROBES: usize = 64;
+/// Exchanges that may be in progress.
+const MAX_EXCHANGES: usize = 32;
+
+/// The identity of this member.
 #[derive(Clone, Debug)]
-pub struct Myself {
+pub struct LocalMember {
     pub name: String,
     /// Where others reach it, by datagrams and by connections.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub fleet: String,
-    /// Unix ms of its start.
+    /// Unix milliseconds of its start.
     pub generation: u64,
 }
 
-/// What to do.
+/// What the driver has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     Send {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// Open a connection, send [`Membership::exchange`], and tell [`Membership::looked`] what came.
-    Look {
-        at: SocketAddr,
+    /// Open a connection, send [`Membership::exchange_message`], and pass the answer to
+    /// [`Membership::on_exchange_result`].
+    Exchange {
+        address: SocketAddr,
     },
+    /// Report a change.
     Changed(Change),
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    at: SocketAddr,
-    life: Life,
-    state: State,
-    /// When it came to be so.
+    address: SocketAddr,
+    version: MemberVersion,
+    state: MemberState,
+    /// When it entered this state.
     since: Duration,
-    /// It has answered this member, or two that have vouch for it: it counts.
-    met: bool,
-    vouched: BTreeSet<String>,
+    /// It has answered this member.
+    has_answered: bool,
+    /// Members that have answered this one and that report it. With two of them it counts, even if it has not answered
+    /// this member itself.
+    vouchers: BTreeSet<String>,
+    /// Members that report it as suspect, dead or left.
     accusers: BTreeSet<String>,
-    /// This member's own evidence against it, since when; none: only hearsay.
-    failed_since: Option<Duration>,
-    saw: Option<Look>,
-    look_at: Duration,
-    travels: u32,
-    /// It is said to have left, though not by itself.
-    said_left: bool,
+    /// Since when this member has evidence of its own against it. None: there is only gossip.
+    unanswered_since: Option<Duration>,
+    exchange_failure: Option<ExchangeFailure>,
+    next_exchange: Duration,
+    /// How often its record is still to be sent.
+    transmits_left: u32,
+    /// Others report that it left; it has not announced that itself.
+    is_reported_left: bool,
 }
 
+/// A direct probe in progress.
 #[derive(Clone, Debug)]
 struct Probe {
-    number: u32,
-    whom: String,
-    at: Duration,
-    asked: bool,
+    seq: u32,
+    target: String,
+    sent_at: Duration,
+    /// Others were asked to probe the target as well.
+    is_indirect: bool,
 }
 
-/// One asked on another's behalf.
+/// An indirect probe on behalf of another member.
 #[derive(Clone, Copy, Debug)]
-struct Errand {
-    number: u32,
-    of: SocketAddr,
-    theirs: u32,
-    until: Duration,
+struct RelayedProbe {
+    seq: u32,
+    requester: SocketAddr,
+    requester_seq: u32,
+    expires_at: Duration,
 }
 
+/// The membership of a fleet as one member knows it.
 pub struct Membership {
-    me: Line,
+    local: MemberRecord,
     fleet: u64,
     members: BTreeMap<String, Member>,
-    refused_lives: RefusedLives,
-    peers: Vec<SocketAddr>,
-    told: usize,
-    chance: fastrand::Rng,
+    refused_versions: RefusedVersions,
+    seed_peers: Vec<SocketAddr>,
+    expected_members: usize,
+    rng: fastrand::Rng,
     health: Health,
-    bucket: Bucket,
-    order: Vec<String>,
+    send_budget: TokenBucket,
+    /// The members still to be probed in this round.
+    probe_order: Vec<String>,
     probes: VecDeque<Probe>,
-    errands: VecDeque<Errand>,
-    looking: BTreeMap<SocketAddr, Duration>,
-    numbers: u32,
+    relayed_probes: VecDeque<RelayedProbe>,
+    /// The exchanges in progress, and when they began.
+    exchanges: BTreeMap<SocketAddr, Duration>,
+    last_seq: u32,
     now: Duration,
     next_probe: Duration,
-    next_reach: Duration,
+    next_reconnect: Duration,
     next_exchange: Duration,
-    answered_at: Option<Duration>,
-    /// Another has the name.
-    out_of_name: bool,
-    leaving: bool,
+    last_answer_at: Option<Duration>,
+    /// Another member has the name of this one and started later.
+    is_name_taken: bool,
+    is_leaving: bool,
     epoch: u64,
-    shown: Option<(usize, usize, usize, Reach)>,
-    was_most: bool,
-    /// Changes to be told with the next turn's acts.
+    /// The members that are alive, suspect and dead, and the reach, as of the last epoch.
+    last_view: Option<(usize, usize, usize, Reach)>,
+    has_reached_most: bool,
+    /// Changes to be reported with the next actions.
     changes: Vec<Change>,
-    /// Bytes said and messages refused so far.
-    pub said: u64,
-    pub refused: u64,
+    /// Bytes sent as datagrams so far.
+    pub bytes_sent: u64,
+    /// Messages rejected so far.
+    pub rejected_messages: u64,
 }
 
 impl Membership {
-    /// One that knows the addresses of some `peers`, and the count of members that operators told.
+    /// A member that knows the addresses of some seed peers, and the configured number of members.
     ///
     /// # Errors
-    /// A name that is empty or longer than [`NAME_MOST`].
+    /// The name is empty or longer than [`MAX_NAME_BYTES`].
     pub fn new(
-        myself: Myself,
-        peers: Vec<SocketAddr>,
-        told: usize,
+        local: LocalMember,
+        seed_peers: Vec<SocketAddr>,
+        expected_members: usize,
         seed: u64,
         now: Duration,
     ) -> Result<Self, MembershipError> {
-        let length = myself.name.len();
-        if length == 0 || length > NAME_MOST {
-            return Err(MembershipError::Name { length, most: NAME_MOST });
+        let length = local.name.len();
+        if length == 0 || length > MAX_NAME_BYTES {
+            return Err(MembershipError::NameLength { length, max: MAX_NAME_BYTES });
         }
-        let life = Life { generation: myself.generation, incarnation: 0 };
-        let at = myself.at;
+        let version = MemberVersion { generation: local.generation, incarnation: 0 };
+        let address = local.address;
         Ok(Self {
-            me: Line { name: myself.name, at, life, state: State::Here },
-            fleet: fleet_number(&myself.fleet),
+            local: MemberRecord { name: local.name, address, version, state: MemberState::Alive },
+            fleet: fleet_id(&local.fleet),
             members: BTreeMap::new(),
-            refused_lives: RefusedLives::default(),
-            peers: peers.into_iter().filter(|&peer| peer != at).collect(),
-            told: told.max(1),
-            chance: fastrand::Rng::with_seed(seed),
+            refused_versions: RefusedVersions::default(),
+            seed_peers: seed_peers.into_iter().filter(|&peer| peer != address).collect(),
+            expected_members: expected_members.max(1),
+            rng: fastrand::Rng::with_seed(seed),
             health: Health::default(),
-            bucket: Bucket::new(now),
-            order: Vec::new(),
+            send_budget: TokenBucket::new(now),
+            probe_order: Vec::new(),
             probes: VecDeque::new(),
-            errands: VecDeque::new(),
-            looking: BTreeMap::new(),
-            numbers: 0,
+            relayed_probes: VecDeque::new(),
+            exchanges: BTreeMap::new(),
+            last_seq: 0,
             now,
             next_probe: now,
-            next_reach: now,
-            next_exchange: now + EXCHANGES,
-            answered_at: None,
-            out_of_name: false,
-            leaving: false,
+            next_reconnect: now,
+            next_exchange: now + MIN_EXCHANGE_INTERVAL,
+            last_answer_at: None,
+            is_name_taken: false,
+            is_leaving: false,
             epoch: 0,
-            shown: None,
-            was_most: false,
+            last_view: None,
+            has_reached_most: false,
             changes: Vec::new(),
-            said: 0,
-            refused: 0,
+            bytes_sent: 0,
+            rejected_messages: 0,
         })
     }
 
-    /// When [`Membership::turn`] is due.
-    pub fn due(&self) -> Duration {
-        let patience = PATIENCE.mul_f64(self.health.strain());
-        let probes = self.probes.iter().map(|p| p.at + patience * if p.asked { 2 } else { 1 });
-        let mut first = probes.min().unwrap_or(Duration::MAX).min(self.next_probe);
+    /// When [`Membership::on_timer`] is to be called.
+    pub fn next_timeout(&self) -> Duration {
+        let timeout = PROBE_TIMEOUT.mul_f64(self.health.multiplier());
+        let deadlines =
+            self.probes.iter().map(|probe| probe.sent_at + timeout * if probe.is_indirect { 2 } else { 1 });
+        let mut first = deadlines.min().unwrap_or(Duration::MAX).min(self.next_probe);
         if !self.changes.is_empty() {
             first = self.now;
         }
@@ -188,412 +210,451 @@
     }
 
     pub fn view(&self) -> View {
-        let count = |state| self.members.values().filter(|m| m.counts() && m.state == state).count();
-        let (here, doubted, gone) = (1 + count(State::Here), count(State::Doubted), count(State::Gone));
-        let known = here + doubted + gone;
-        let of = if self.was_most { known } else { known.max(self.told) };
-        let sure = !self.is_alone() && !self.out_of_name;
-        let reach = if sure && here * 2 > of { Reach::Most } else { Reach::NotMost };
-        View { epoch: self.epoch, here, doubted, gone, known, reach }
+        let count =
+            |state| self.members.values().filter(|member| member.counts() && member.state == state).count();
+        let alive = 1 + count(MemberState::Alive);
+        let (suspect, dead) = (count(MemberState::Suspect), count(MemberState::Dead));
+        let known = alive + suspect + dead;
+        let fleet_size = if self.has_reached_most { known } else { known.max(self.expected_members) };
+        let takes_part = !self.is_isolated() && !self.is_name_taken;
+        let reach = if takes_part && alive * 2 > fleet_size { Reach::Most } else { Reach::NotMost };
+        View { epoch: self.epoch, alive, suspect, dead, known, reach }
     }
 
-    /// For how many sources are to be shared out ([`View::sharers`]).
-    pub fn sharers(&self) -> usize {
-        self.view().sharers(self.told, self.was_most)
+    /// By how many members the capacity of sources is to be divided ([`View::source_sharers`]).
+    pub fn source_sharers(&self) -> usize {
+        self.view().source_sharers(self.expected_members, self.has_reached_most)
     }
 
-    /// What is held of a member of that name; none: it is not known.
-    pub fn state(&self, name: &str) -> Option<State> {
-        if name == self.me.name {
-            return Some(self.me.state);
+    /// The state of a member by its name. None: it is not known.
+    pub fn state(&self, name: &str) -> Option<MemberState> {
+        if name == self.local.name {
+            return Some(self.local.state);
         }
-        self.members.get(name).map(|m| m.state)
+        self.members.get(name).map(|member| member.state)
     }
 
-    /// The names of those who are here or doubted, this one among them.
+    /// The names of the members that are alive or suspect, this one included.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        let there = self.members.iter().filter(|(_, m)| m.counts() && m.state <= State::Doubted);
-        std::iter::once(self.me.name.as_str()).chain(there.map(|(name, _)| name.as_str()))
+        let others = self.members.iter();
+        let others = others.filter(|(_, member)| member.counts() && member.state <= MemberState::Suspect);
+        std::iter::once(self.local.name.as_str()).chain(others.map(|(name, _)| name.as_str()))
     }
 
-    /// This member's life, as it is told to others.
-    pub fn life(&self) -> Life {
-        self.me.life
+    /// This member's version, as it is sent to others.
+    pub fn version(&self) -> MemberVersion {
+        self.local.version
     }
 
-    /// Nobody has answered for so long that this member doubts itself before others.
-    fn is_alone(&self) -> bool {
-        let others = self.members.values().any(|m| m.state <= State::Doubted) || !self.peers.is_empty();
-        others && self.answered_at.is_none_or(|at| self.now > at + self.health.alone_after())
+    /// Whether nobody has answered for so long that the fault is more likely at this member than at the others.
+    fn is_isolated(&self) -> bool {
+        let has_others = self.members.values().any(|member| member.state <= MemberState::Suspect)
+            || !self.seed_peers.is_empty();
+        has_others && self.last_answer_at.is_none_or(|at| self.now > at + self.health.isolation_timeout())
     }
 
-    /// A message that came; what can't be read is counted and changes nothing.
+    /// Handles a received datagram. One that cannot be used is counted and changes nothing.
     ///
     /// # Errors
-    /// What was wrong with it.
-    pub fn heard(&mut self, bytes: &[u8], now: Duration, out: &mut Vec<Act>) -> Result<(), MembershipError> {
-        let said = self.taken(bytes, DATAGRAM_MOST, |said: &Datagram| said.fleet)?;
-        self.passes(now);
-        if said.from.name == self.me.name {
-            self.namesake(&said.from);
+    /// Why the datagram was rejected.
+    pub fn on_datagram(
+        &mut self,
+        bytes: &[u8],
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), MembershipError> {
+        let datagram = self.decode_message(bytes, MAX_DATAGRAM_BYTES, |message: &Datagram| message.fleet)?;
+        self.advance(now);
+        if datagram.from.name == self.local.name {
+            self.learn_of_own_name(&datagram.from);
             return Ok(());
         }
-        self.learn(&said.from, &said.from.name);
-        for line in said.lines.iter().take(LINES_MOST) {
-            self.learn(line, &said.from.name);
+        self.learn(&datagram.from, &datagram.from.name);
+        for record in datagram.records.iter().take(MAX_GOSSIPED_RECORDS) {
+            self.learn(record, &datagram.from.name);
         }
-        let to = said.from.at;
-        match said.body {
-            Body::Ping { number } if !self.leaving && !self.out_of_name => {
-                self.send(to, Body::Ack { number }, true, out);
+        let sender = datagram.from.address;
+        match datagram.body {
+            Body::Ping { seq } if !self.is_leaving && !self.is_name_taken => {
+                self.send(sender, Body::Ack { seq }, true, actions);
             }
-            Body::Ask { number: theirs, whom } if !self.leaving => {
-                let number = self.number();
-                self.errands.push_back(Errand { number, of: to, theirs, until: now + EVERY * 5 });
-                self.errands.truncate(64);
-                self.send(whom, Body::Ping { number }, true, out);
+            Body::PingRequest { seq: requester_seq, target } if !self.is_leaving => {
+                let seq = self.next_seq();
+                let expires_at = now + PROBE_INTERVAL * 5;
+                self.relayed_probes.push_back(RelayedProbe {
+                    seq,
+                    requester: sender,
+                    requester_seq,
+                    expires_at,
+                });
+                self.relayed_probes.truncate(MAX_RELAYED_PROBES);
+                self.send(target, Body::Ping { seq }, true, actions);
             }
-            Body::Ack { number } => {
-                if let Some(at) = self.errands.iter().position(|e| e.number == number) {
-                    if let Some(errand) = self.errands.remove(at) {
-                        self.send(errand.of, Body::Through { number: errand.theirs }, true, out);
+            Body::Ack { seq } => {
+                if let Some(index) = self.relayed_probes.iter().position(|probe| probe.seq == seq) {
+                    if let Some(probe) = self.relayed_probes.remove(index) {
+                        let ack = Body::IndirectAck { seq: probe.requester_seq };
+                        self.send(probe.requester, ack, true, actions);
                     }
-                } else if let Some(probe) = self.take_probe(number, |whom| *whom == said.from.name) {
-                    if !probe.asked {
-                        self.health.pinged(true);
+                } else if let Some(probe) = self.take_probe(seq, |target| *target == datagram.from.name) {
+                    if !probe.is_indirect {
+                        self.health.record_probe(true);
                     }
-                    self.answered(&said.from.name);
+                    self.on_answer(&datagram.from.name);
                 }
             }
-            Body::Through { number } => {
-                if let Some(probe) = self.take_probe(number, |_| true) {
-                    self.answered(&probe.whom);
+            Body::IndirectAck { seq } => {
+                if let Some(probe) = self.take_probe(seq, |_| true) {
+                    self.on_answer(&probe.target);
                 }
             }
-            Body::Ping { .. } | Body::Ask { .. } | Body::Tell => {}
+            Body::Ping { .. } | Body::PingRequest { .. } | Body::Gossip => {}
         }
-        self.tell(out);
+        self.report_changes(actions);
         Ok(())
     }
 
-    /// All that this member knows, for a look.
-    pub fn exchange(&self) -> Vec<u8> {
-        let lines = self.members.iter().map(|(name, m)| m.line(name)).collect();
-        let (from, view) = (Some(self.me.clone()), self.view());
-        let most = view.reach == Reach::Most;
-        write(&Exchange { fleet: self.fleet, from, epoch: view.epoch, most, lines })
+    /// All that this member knows, for an exchange.
+    pub fn exchange_message(&self) -> Vec<u8> {
+        let records = self.members.iter().map(|(name, member)| member.record(name)).collect();
+        let (from, view) = (Some(self.local.clone()), self.view());
+        let reaches_most = view.reach == Reach::Most;
+        encode(&Exchange { fleet: self.fleet, from, epoch: view.epoch, reaches_most, records })
     }
 
-    /// One looks at this member: what it says is taken, and all that is known here goes back.
+    /// Handles an exchange that another member began. Returns all that is known here, as the answer.
     ///
     /// # Errors
-    /// What was wrong with what it said.
-    pub fn asked(&mut self, bytes: &[u8], now: Duration) -> Result<Vec<u8>, MembershipError> {
-        let said = self.taken(bytes, EXCHANGE_MOST, |said: &Exchange| said.fleet)?;
-        self.passes(now);
-        self.exchanged(&said);
-        Ok(self.exchange())
+    /// Why the message was rejected.
+    pub fn on_exchange(&mut self, bytes: &[u8], now: Duration) -> Result<Vec<u8>, MembershipError> {
+        let exchange = self.decode_message(bytes, MAX_EXCHANGE_BYTES, |message: &Exchange| message.fleet)?;
+        self.advance(now);
+        self.learn_exchange(&exchange);
+        Ok(self.exchange_message())
     }
 
-    /// What came of a look: all that the other knows, or what was seen of its machine.
+    /// Handles the result of an exchange that this member began: the answer, or why there was none.
     ///
     /// # Errors
-    /// An answer that can't be read; it counts as none.
-    pub fn looked(
+    /// Why the answer was rejected; it counts as none.
+    pub fn on_exchange_result(
         &mut self,
-        at: SocketAddr,
-        saw: Result<&[u8], Look>,
+        address: SocketAddr,
+        result: Result<&[u8], ExchangeFailure>,
         now: Duration,
     ) -> Result<(), MembershipError> {
-        self.passes(now);
-        self.looking.remove(&at);
-        let saw = match saw {
+        self.advance(now);
+        self.exchanges.remove(&address);
+        let failure = match result {
             Ok(bytes) => {
-                let said = self.taken(bytes, EXCHANGE_MOST, |said: &Exchange| said.fleet)?;
-                self.exchanged(&said);
-                if let Some(from) = said.from.filter(|from| from.name != self.me.name) {
-                    self.answered(&from.name);
+                let exchange =
+                    self.decode_message(bytes, MAX_EXCHANGE_BYTES, |message: &Exchange| message.fleet)?;
+                self.learn_exchange(&exchange);
+                if let Some(from) = exchange.from.filter(|from| from.name != self.local.name) {
+                    self.on_answer(&from.name);
                 }
                 return Ok(());
             }
-            Err(saw) => saw,
+            Err(failure) => failure,
         };
-        let names: Vec<_> = self.members.iter().filter(|(_, m)| m.at == at).map(|(n, _)| n.clone()).collect();
+        let at_address = self.members.iter().filter(|(_, member)| member.address == address);
+        let names: Vec<_> = at_address.map(|(name, _)| name.clone()).collect();
         for name in names {
-            let Some(member) = self.members.get_mut(&name).filter(|m| m.state == State::Doubted) else {
+            let member = self.members.get_mut(&name);
+            let Some(member) = member.filter(|member| member.state == MemberState::Suspect) else {
                 continue;
             };
-            member.saw = Some(saw);
-            if saw == Look::Refused {
-                member.failed_since.get_or_insert(now);
+            member.exchange_failure = Some(failure);
+            if failure == ExchangeFailure::Refused {
+                member.unanswered_since.get_or_insert(now);
             }
-            self.judge(&name);
+            self.evaluate_suspect(&name);
         }
         Ok(())
     }
 
-    /// What is due.
-    pub fn turn(&mut self, now: Duration, out: &mut Vec<Act>) {
-        self.passes(now);
-        if !self.leaving && !self.out_of_name {
-            self.fail_probes(out);
+    /// Does what is due: times out probes, sends new ones, begins exchanges, and declares suspects dead.
+    pub fn on_timer(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        self.advance(now);
+        if !self.is_leaving && !self.is_name_taken {
+            self.time_out_probes(actions);
             if now >= self.next_probe {
-                self.next_probe = now + EVERY;
-                self.probe_doubted(out);
-                self.probe_next(out);
-                let doubted = self.members.iter().filter(|(_, m)| m.state == State::Doubted);
-                let doubted: Vec<_> = doubted.map(|(name, _)| name.clone()).collect();
-                doubted.iter().for_each(|name| self.judge(name));
-                self.forget();
+                self.next_probe = now + PROBE_INTERVAL;
+                self.probe_suspects(actions);
+                self.probe_next(actions);
+                let suspects = self.members.iter().filter(|(_, member)| member.state == MemberState::Suspect);
+                let suspects: Vec<_> = suspects.map(|(name, _)| name.clone()).collect();
+                suspects.iter().for_each(|name| self.evaluate_suspect(name));
+                self.forget_old_members();
             }
-            self.reach_out(out);
+            self.begin_due_exchanges(actions);
         }
-        self.tell(out);
+        self.report_changes(actions);
     }
 
-    /// This member leaves by its own word: it answers nothing from now on.
-    pub fn leave(&mut self, out: &mut Vec<Act>) {
-        (self.leaving, self.me.state) = (true, State::Left);
-        let here: Vec<_> =
-            self.members.values().filter(|m| m.state <= State::Doubted).map(|m| m.at).collect();
-        for to in here {
-            self.send(to, Body::Tell, false, out);
+    /// Announces that this member leaves. From now on it answers nothing.
+    pub fn leave(&mut self, actions: &mut Vec<Action>) {
+        (self.is_leaving, self.local.state) = (true, MemberState::Left);
+        let others = self.members.values().filter(|member| member.state <= MemberState::Suspect);
+        let addresses: Vec<_> = others.map(|member| member.address).collect();
+        for to in addresses {
+            self.send(to, Body::Gossip, false, actions);
         }
     }
 
-    /// What came, if it can be read and is of this fleet; else it is counted.
-    fn taken<'a, T: serde::Deserialize<'a>>(
+    /// Decodes a message of this fleet; any other is counted.
+    fn decode_message<'a, T: serde::Deserialize<'a>>(
         &mut self,
         bytes: &'a [u8],
-        most: usize,
-        fleet: impl Fn(&T) -> u64,
+        max: usize,
+        fleet_of: impl Fn(&T) -> u64,
     ) -> Result<T, MembershipError> {
-        let taken = read::<T>(bytes, most).and_then(|said| match fleet(&said) {
-            theirs if theirs == self.fleet => Ok(said),
+        let decoded = decode::<T>(bytes, max).and_then(|message| match fleet_of(&message) {
+            theirs if theirs == self.fleet => Ok(message),
             theirs => Err(MembershipError::OtherFleet { theirs, ours: self.fleet }),
         });
-        taken.inspect_err(|_| self.refused += 1)
+        decoded.inspect_err(|_| self.rejected_messages += 1)
     }
 
-    /// Time passes. After a gap nothing that was awaited meanwhile is held against anybody: it was this process that
-    /// did not run. It says that it is there in a later incarnation, for others may hold it for gone.
-    fn passes(&mut self, now: Duration) {
-        let late = now.saturating_sub(self.due().max(self.now));
+    /// Advances the time. After a gap nobody is accused for answers that were due meanwhile, since it was this process that
+    /// did not run. This member raises its incarnation, for others may have declared it dead.
+    fn advance(&mut self, now: Duration) {
+        let late = now.saturating_sub(self.next_timeout().max(self.now));
         self.now = now;
-        if late < PAUSE {
+        if late < PAUSE_THRESHOLD {
             return;
         }
         self.probes.clear();
-        self.errands.clear();
+        self.relayed_probes.clear();
         for member in self.members.values_mut() {
-            (member.failed_since, member.saw) = (None, None);
+            (member.unanswered_since, member.exchange_failure) = (None, None);
             member.accusers.clear();
-            if member.state == State::Doubted {
+            if member.state == MemberState::Suspect {
                 member.since = now;
             }
         }
-        self.health.woke();
-        self.answered_at = None;
-        self.me.life.incarnation += 1;
+        self.health.on_pause();
+        self.last_answer_at = None;
+        self.local.version.incarnation += 1;
         self.changes.push(Change::Woke(late.as_millis() as u64));
     }
 
-    fn number(&mut self) -> u32 {
-        self.numbers = self.numbers.wrapping_add(1);
-        self.numbers
+    fn next_seq(&mut self) -> u32 {
+        self.last_seq = self.last_seq.wrapping_add(1);
+        self.last_seq
     }
 
-    fn travels_most(&self) -> u32 {
-        TRAVELS * (self.members.len() as u32 + 1).ilog2().max(1)
+    fn retransmit_limit(&self) -> u32 {
+        RETRANSMITS_PER_DOUBLING * (self.members.len() as u32 + 1).ilog2().max(1)
     }
 
-    /// Says something, with the lines that are new, as far as bytes allow.
-    fn send(&mut self, to: SocketAddr, body: Body, is_answer: bool, out: &mut Vec<Act>) -> bool {
-        let mut lines = Vec::new();
-        // What this one is held for comes first: it alone can say that it is not so.
-        let of = self.members.iter_mut().find(|(_, m)| m.at == to && m.state != State::Here);
-        if let Some((name, member)) = of {
-            lines.push(member.line(name));
+    /// Sends a message with new records, as far as the byte budget allows. Returns whether it was sent.
+    fn send(&mut self, to: SocketAddr, body: Body, is_answer: bool, actions: &mut Vec<Action>) -> bool {
+        let mut records = Vec::new();
+        // The receiver's own record comes first where it is not alive: only the receiver can refute that.
+        let receiver = self
+            .members
+            .iter_mut()
+            .find(|(_, member)| member.address == to && member.state != MemberState::Alive);
+        if let Some((name, member)) = receiver {
+            records.push(member.record(name));
         }
-        let room = if self.bucket.has_news_left(self.now) { LINES_MOST } else { 1 };
-        if body == Body::Tell && room < LINES_MOST && !self.leaving {
+        let max_records = if self.send_budget.allows_gossip(self.now) { MAX_GOSSIPED_RECORDS } else { 1 };
+        if body == Body::Gossip && max_records < MAX_GOSSIPED_RECORDS && !self.is_leaving {
             return false;
         }
-        let mut new: Vec<_> = self.members.iter_mut().filter(|(_, m)| m.travels > 0 && m.at != to).collect();
-        new.sort_by_key(|(_, m)| std::cmp::Reverse(m.travels));
-        for (name, member) in new.into_iter().take(room - lines.len()) {
-            member.travels -= 1;
-            lines.push(member.line(name));
+        let new = self.members.iter_mut();
+        let mut new: Vec<_> =
+            new.filter(|(_, member)| member.transmits_left > 0 && member.address != to).collect();
+        new.sort_by_key(|(_, member)| std::cmp::Reverse(member.transmits_left));
+        for (name, member) in new.into_iter().take(max_records - records.len()) {
+            member.transmits_left -= 1;
+            records.push(member.record(name));
         }
-        let bytes = write(&Datagram { fleet: self.fleet, from: self.me.clone(), body, lines });
-        if bytes.len() > DATAGRAM_MOST || !self.bucket.takes(bytes.len(), is_answer, self.now) {
+        let bytes = encode(&Datagram { fleet: self.fleet, from: self.local.clone(), body, records });
+        if bytes.len() > MAX_DATAGRAM_BYTES || !self.send_budget.try_take(bytes.len(), is_answer, self.now) {
             return false;
         }
-        self.said += bytes.len() as u64;
-        out.push(Act::Send { to, bytes });
+        self.bytes_sent += bytes.len() as u64;
+        actions.push(Action::Send { to, bytes });
         true
     }
 
-    /// Tells changes, and a few members of what is new.
-    fn tell(&mut self, out: &mut Vec<Act>) {
+    /// Reports changes to the driver, and gossips them to a few members.
+    fn report_changes(&mut self, actions: &mut Vec<Action>) {
         let view = self.view();
-        let shown = (view.here, view.doubted, view.gone, view.reach);
-        if self.shown != Some(shown) {
-            let before = self.shown.replace(shown);
+        let current = (view.alive, view.suspect, view.dead, view.reach);
+        if self.last_view != Some(current) {
+            let previous = self.last_view.replace(current);
             self.epoch += 1;
-            self.was_most |= view.reach == Reach::Most;
-            if before.is_none_or(|before| before.3 != view.reach) {
+            self.has_reached_most |= view.reach == Reach::Most;
+            if previous.is_none_or(|previous| previous.3 != view.reach) {
                 self.changes.push(Change::Reach(view.reach));
             }
         }
         if self.changes.is_empty() {
             return;
         }
-        out.extend(std::mem::take(&mut self.changes).into_iter().map(Act::Changed));
-        for to in self.some(TOLD_AT_ONCE, &self.me.name.clone()) {
-            self.send(to, Body::Tell, false, out);
+        actions.extend(std::mem::take(&mut self.changes).into_iter().map(Action::Changed));
+        for to in self.random_alive(IMMEDIATE_GOSSIP, &self.local.name.clone()) {
+            self.send(to, Body::Gossip, false, actions);
         }
     }
 
-    /// The addresses of some members that are here, another than that one.
-    fn some(&mut self, count: usize, but: &str) -> Vec<SocketAddr> {
-        let here = self.members.iter().filter(|(name, m)| m.state == State::Here && *name != but);
-        let mut here: Vec<_> = here.map(|(_, m)| m.at).collect();
-        self.chance.shuffle(&mut here);
-        here.truncate(count);
-        here
+    /// The addresses of random members that are alive, without the excluded one.
+    fn random_alive(&mut self, count: usize, excluded: &str) -> Vec<SocketAddr> {
+        let alive = self
+            .members
+            .iter()
+            .filter(|(name, member)| member.state == MemberState::Alive && *name != excluded);
+        let mut addresses: Vec<_> = alive.map(|(_, member)| member.address).collect();
+        self.rng.shuffle(&mut addresses);
+        addresses.truncate(count);
+        addresses
     }
 
-    fn take_probe(&mut self, number: u32, fits: impl Fn(&String) -> bool) -> Option<Probe> {
-        let at = self.probes.iter().position(|p| p.number == number && fits(&p.whom))?;
-        self.probes.remove(at)
+    fn take_probe(&mut self, seq: u32, is_target: impl Fn(&String) -> bool) -> Option<Probe> {
+        let index = self.probes.iter().position(|probe| probe.seq == seq && is_target(&probe.target))?;
+        self.probes.remove(index)
     }
 
-    /// A member has answered this one: what was held against it is over, here.
-    fn answered(&mut self, name: &str) {
-        let (now, travels) = (self.now, self.travels_most());
-        self.answered_at = Some(now);
-        self.probes.retain(|p| p.whom != name);
+    /// A member has answered this one: it is no longer suspect or dead here.
+    fn on_answer(&mut self, name: &str) {
+        let (now, retransmit_limit) = (self.now, self.retransmit_limit());
+        self.last_answer_at = Some(now);
+        self.probes.retain(|probe| probe.target != name);
         let Some(member) = self.members.get_mut(name) else { return };
-        (member.failed_since, member.saw, member.said_left) = (None, None, false);
+        (member.unanswered_since, member.exchange_failure, member.is_reported_left) = (None, None, false);
         member.accusers.clear();
-        if !std::mem::replace(&mut member.met, true) {
-            member.travels = travels;
+        if !std::mem::replace(&mut member.has_answered, true) {
+            member.transmits_left = retransmit_limit;
             self.changes.push(Change::New(name.to_owned()));
         }
         match member.state {
-            State::Here => return,
-            State::Doubted => self.changes.push(Change::Cleared(name.to_owned())),
-            State::Gone => self.changes.push(Change::Back(name.to_owned())),
-            // It left, and this is an answer from before.
-            State::Left => return,
+            MemberState::Alive => return,
+            MemberState::Suspect => self.changes.push(Change::Cleared(name.to_owned())),
+            MemberState::Dead => self.changes.push(Change::Back(name.to_owned())),
+            // The answer was sent before the member left.
+            MemberState::Left => return,
         }
-        (member.state, member.since) = (State::Here, now);
+        (member.state, member.since) = (MemberState::Alive, now);
     }
 
-    /// What another says of this one's name.
-    fn namesake(&mut self, line: &Line) {
-        if line.at != self.me.at {
-            let theirs = (line.life.generation, line.at);
-            if theirs > (self.me.life.generation, self.me.at) && !self.out_of_name {
-                self.out_of_name = true;
+    /// Handles a record under this member's own name: another member has the same name, or this one has to refute it.
+    fn learn_of_own_name(&mut self, record: &MemberRecord) {
+        if record.address != self.local.address {
+            let theirs = (record.version.generation, record.address);
+            if theirs > (self.local.version.generation, self.local.address) && !self.is_name_taken {
+                self.is_name_taken = true;
                 self.changes.push(Change::NameTaken);
             }
             return;
         }
-        if self.leaving {
+        if self.is_leaving {
             return;
         }
-        if line.life.generation > self.me.life.generation {
-            // An earlier life of this one, whose clock was ahead.
-            self.me.life = Life { generation: line.life.generation + 1, incarnation: 0 };
-        } else if line.life.generation == self.me.life.generation
-            && line.state != State::Here
-            && line.life.incarnation >= self.me.life.incarnation
+        if record.version.generation > self.local.version.generation {
+            // From an earlier process of this member, whose clock was ahead.
+            self.local.version = MemberVersion { generation: record.version.generation + 1, incarnation: 0 };
+        } else if record.version.generation == self.local.version.generation
+            && record.state != MemberState::Alive
+            && record.version.incarnation >= self.local.version.incarnation
         {
-            self.me.life.incarnation = line.life.incarnation + 1;
+            self.local.version.incarnation = record.version.incarnation + 1;
         }
     }
 
-    /// A line on a member, said by one.
-    fn learn(&mut self, line: &Line, by: &str) {
-        if line.name == self.me.name {
-            return self.namesake(line);
+    /// Handles a record of another member, as the named sender reports it.
+    fn learn(&mut self, record: &MemberRecord, sender: &str) {
+        if record.name == self.local.name {
+            return self.learn_of_own_name(record);
         }
-        if line.name.is_empty() || line.name.len() > NAME_MOST {
+        if record.name.is_empty() || record.name.len() > MAX_NAME_BYTES {
             return;
         }
-        let (now, travels, own) = (self.now, self.travels_most(), line.name == by);
-        let by_met = self.members.get(by).is_some_and(|m| m.met);
-        let Some(member) = self.members.get_mut(&line.name) else {
-            // A life whose machine refused a connection is not doubted again because others have not forgotten it yet.
-            let refused = line.state != State::Here && self.refused_lives.covers(&line.name, line.life);
-            if self.members.len() < MEMBERS_MOST && line.state != State::Left && !refused {
+        let (now, retransmit_limit) = (self.now, self.retransmit_limit());
+        let is_own_record = record.name == sender;
+        let sender_has_answered = self.members.get(sender).is_some_and(|member| member.has_answered);
+        let Some(member) = self.members.get_mut(&record.name) else {
+            // A version whose machine refused a connection does not become suspect again because others have not forgotten
+            // it yet.
+            let is_refused = record.state != MemberState::Alive
+                && self.refused_versions.covers(&record.name, record.version);
+            if self.members.len() < MAX_MEMBERS && record.state != MemberState::Left && !is_refused {
+                let is_alive = record.state == MemberState::Alive;
                 let member = Member {
-                    at: line.at,
-                    life: line.life,
-                    // Nobody is gone by hearsay: one who is said to be is looked at.
-                    state: if line.state == State::Here { State::Here } else { State::Doubted },
+                    address: record.address,
+                    version: record.version,
+                    // Gossip alone declares nobody dead: a member that is reported dead is suspect, and is probed.
+                    state: if is_alive { MemberState::Alive } else { MemberState::Suspect },
                     since: now,
-                    met: false,
-                    vouched: BTreeSet::new(),
+                    has_answered: false,
+                    vouchers: BTreeSet::new(),
                     accusers: BTreeSet::new(),
-                    failed_since: None,
-                    saw: None,
-                    look_at: now,
-                    travels: 0,
-                    said_left: false,
+                    unanswered_since: None,
+                    exchange_failure: None,
+                    next_exchange: now,
+                    transmits_left: 0,
+                    is_reported_left: false,
                 };
-                self.members.insert(line.name.clone(), member);
-                // Met at the next chance, not in its turn.
-                self.order.push(line.name.clone());
+                self.members.insert(record.name.clone(), member);
+                // The new member is the next one to be probed.
+                self.probe_order.push(record.name.clone());
             }
             return;
         };
-        if !member.met && by_met && !own && member.vouched.len() < NAMES_MOST {
-            member.vouched.insert(by.to_owned());
+        let can_vouch = sender_has_answered && !is_own_record;
+        if !member.has_answered && can_vouch && member.vouchers.len() < MAX_WITNESSES {
+            member.vouchers.insert(sender.to_owned());
         }
-        if line.life < member.life {
+        if record.version < member.version {
             return;
         }
-        if line.life > member.life {
-            let restarted = line.life.generation > member.life.generation;
-            let news = match member.state {
-                _ if !member.met => None,
-                State::Gone | State::Left if restarted => Some(Change::Restarted(line.name.clone())),
-                State::Gone | State::Left => Some(Change::Back(line.name.clone())),
-                _ if restarted => Some(Change::Restarted(line.name.clone())),
-                State::Doubted => Some(Change::Cleared(line.name.clone())),
-                State::Here => None,
+        if record.version > member.version {
+            let is_restarted = record.version.generation > member.version.generation;
+            let change = match member.state {
+                _ if !member.has_answered => None,
+                MemberState::Dead | MemberState::Left if is_restarted => {
+                    Some(Change::Restarted(record.name.clone()))
+                }
+                MemberState::Dead | MemberState::Left => Some(Change::Back(record.name.clone())),
+                _ if is_restarted => Some(Change::Restarted(record.name.clone())),
+                MemberState::Suspect => Some(Change::Cleared(record.name.clone())),
+                MemberState::Alive => None,
             };
-            // It has said so itself, to this member or to whom it tells: it is there. What was held against it is over.
-            (member.at, member.life, member.travels) = (line.at, line.life, travels);
-            (member.failed_since, member.saw, member.said_left) = (None, None, false);
+            // The member itself raised its version, in a message to this member or to one that passed it on, so it is alive.
+            // Earlier evidence against it no longer counts.
+            (member.address, member.version, member.transmits_left) =
+                (record.address, record.version, retransmit_limit);
+            (member.unanswered_since, member.exchange_failure, member.is_reported_left) = (None, None, false);
             member.accusers.clear();
-            if member.state != State::Here {
-                (member.state, member.since) = (State::Here, now);
+            if member.state != MemberState::Alive {
+                (member.state, member.since) = (MemberState::Alive, now);
             }
-            self.changes.extend(news);
-        }
-        let member = self.members.get_mut(&line.name).expect("it was there a moment ago");
-        match line.state {
-            State::Here => {}
-            State::Left if own && member.state == State::Left => {}
-            State::Left if own => {
-                (member.state, member.since, member.travels) = (State::Left, now, travels);
-                self.changes.push(Change::Left(line.name.clone()));
+            self.changes.extend(change);
+        }
+        let member = self.members.get_mut(&record.name).expect("the member was found above");
+        match record.state {
+            MemberState::Alive => {}
+            MemberState::Left if is_own_record && member.state == MemberState::Left => {}
+            MemberState::Left if is_own_record => {
+                (member.state, member.since, member.transmits_left) =
+                    (MemberState::Left, now, retransmit_limit);
+                self.changes.push(Change::Left(record.name.clone()));
             }
-            State::Doubted | State::Gone | State::Left if member.state <= State::Doubted => {
-                if member.accusers.len() < NAMES_MOST {
-                    member.accusers.insert(by.to_owned());
+            MemberState::Suspect | MemberState::Dead | MemberState::Left
+                if member.state <= MemberState::Suspect =>
+            {
+                if member.accusers.len() < MAX_WITNESSES {
+                    member.accusers.insert(sender.to_owned());
                 }
-                member.said_left |= line.state == State::Left;
-                if member.state == State::Here {
-                    (member.state, member.since, member.look_at) = (State::Doubted, now, now);
-                    // Looked at at once: that others doubt it is a reason to ask, and no more.
+                member.is_reported_left |= record.state == MemberState::Left;
+                if member.state == MemberState::Alive {
+                    (member.state, member.since, member.next_exchange) = (MemberState::Suspect, now, now);
+                    // Probed at once: that others suspect it is a reason to ask it, and no more.
                     self.next_probe = now;
-                    if member.met {
-                        self.changes.push(Change::Doubted(line.name.clone()));
+                    if member.has_answered {
+                        self.changes.push(Change::Doubted(record.name.clone()));
                     }
                 }
             }
@@ -601,174 +662,186 @@
         }
     }
 
-    fn exchanged(&mut self, said: &Exchange) {
-        let Some(from) = &said.from else { return };
-        if from.name == self.me.name {
-            return self.namesake(from);
+    fn learn_exchange(&mut self, exchange: &Exchange) {
+        let Some(from) = &exchange.from else { return };
+        if from.name == self.local.name {
+            return self.learn_of_own_name(from);
         }
         self.learn(from, &from.name);
-        for line in &said.lines {
-            self.learn(line, &from.name);
+        for record in &exchange.records {
+            self.learn(record, &from.name);
         }
     }
 
-    /// Probes that took too long: others are asked, then it has failed.
-    fn fail_probes(&mut self, out: &mut Vec<Act>) {
-        let patience = PATIENCE.mul_f64(self.health.strain());
-        let (now, mut left) = (self.now, VecDeque::new());
-        self.errands.retain(|errand| errand.until > now);
+    /// Times out probes: first others are asked for indirect probes, then the probe has failed.
+    fn time_out_probes(&mut self, actions: &mut Vec<Action>) {
+        let timeout = PROBE_TIMEOUT.mul_f64(self.health.multiplier());
+        let (now, mut remaining) = (self.now, VecDeque::new());
+        self.relayed_probes.retain(|probe| probe.expires_at > now);
         for mut probe in std::mem::take(&mut self.probes) {
-            let Some(at) = self.members.get(&probe.whom).map(|m| m.at) else { continue };
-            if !probe.asked && now >= probe.at + patience {
-                let held_well = self.members[&probe.whom].state == State::Here;
-                if held_well {
-                    self.health.pinged(false);
+            let Some(target) = self.members.get(&probe.target).map(|member| member.address) else { continue };
+            if !probe.is_indirect && now >= probe.sent_at + timeout {
+                let is_alive = self.members[&probe.target].state == MemberState::Alive;
+                if is_alive {
+                    self.health.record_probe(false);
                 }
-                for helper in self.some(HELPERS, &probe.whom) {
-                    self.send(helper, Body::Ask { number: probe.number, whom: at }, false, out);
+                for helper in self.random_alive(INDIRECT_PROBES, &probe.target) {
+                    self.send(helper, Body::PingRequest { seq: probe.seq, target }, false, actions);
                 }
-                probe.asked = true;
+                probe.is_indirect = true;
             }
-            if !probe.asked || now < probe.at + patience * 2 {
-                left.push_back(probe);
+            if !probe.is_indirect || now < probe.sent_at + timeout * 2 {
+                remaining.push_back(probe);
             } else {
-                self.failed(&probe);
+                self.on_failed_probe(&probe);
             }
         }
-        self.probes = left;
+        self.probes = remaining;
     }
 
-    /// One who did not answer, nor anybody for it. Guards against the dead; it hurts one who is cut off from this member
-    /// and its helpers, until it answers.
-    fn failed(&mut self, probe: &Probe) {
-        let (now, alone, travels) = (self.now, self.is_alone(), self.travels_most());
-        let Some(member) = self.members.get_mut(&probe.whom) else { return };
-        if alone || member.state > State::Doubted {
+    /// Neither the target nor a helper has answered a probe. This guards against dead members. The cost falls on a member
+    /// that is cut off from this one and its helpers, until it answers.
+    fn on_failed_probe(&mut self, probe: &Probe) {
+        let (now, is_isolated, retransmit_limit) = (self.now, self.is_isolated(), self.retransmit_limit());
+        let Some(member) = self.members.get_mut(&probe.target) else { return };
+        if is_isolated || member.state > MemberState::Suspect {
             return;
         }
-        if !member.counts() && member.state == State::Here {
-            // Never met: a name that somebody told.
-            (member.state, member.since) = (State::Doubted, now);
+        if !member.counts() && member.state == MemberState::Alive {
+            // It never answered: the name comes from gossip only.
+            (member.state, member.since) = (MemberState::Suspect, now);
         }
-        member.failed_since.get_or_insert(probe.at);
-        if member.state == State::Here {
-            (member.state, member.since, member.look_at, member.travels) =
-                (State::Doubted, now, now, travels);
-            self.changes.push(Change::Doubted(probe.whom.clone()));
+        member.unanswered_since.get_or_insert(probe.sent_at);
+        if member.state == MemberState::Alive {
+            (member.state, member.since, member.next_exchange, member.transmits_left) =
+                (MemberState::Suspect, now, now, retransmit_limit);
+            self.changes.push(Change::Doubted(probe.target.clone()));
         }
-        self.judge(&probe.whom);
+        self.evaluate_suspect(&probe.target);
     }
 
-    /// Whether a doubted member is to be held for gone: only by what was seen from here, for as long as the doubt lasts.
-    fn judge(&mut self, name: &str) {
-        let (now, alone, travels) = (self.now, self.is_alone(), self.travels_most());
-        let Some(member) = self.members.get_mut(name).filter(|m| m.state == State::Doubted) else { return };
-        let (Some(since), Some(saw)) = (member.failed_since, member.saw) else { return };
-        // That nothing listens there any more is a proof, whoever sees it.
-        if saw != Look::Refused
-            && (alone || now < since + self.health.doubt_lasts(saw, member.accusers.len()))
+    /// Declares a suspect dead once the suspicion timeout is over, on this member's own evidence only.
+    fn evaluate_suspect(&mut self, name: &str) {
+        let (now, is_isolated, retransmit_limit) = (self.now, self.is_isolated(), self.retransmit_limit());
+        let member = self.members.get_mut(name);
+        let Some(member) = member.filter(|member| member.state == MemberState::Suspect) else { return };
+        let (Some(since), Some(failure)) = (member.unanswered_since, member.exchange_failure) else { return };
+        // A refused connection is proof, even to an isolated member.
+        if failure != ExchangeFailure::Refused
+            && (is_isolated || now < since + self.health.suspicion_timeout(failure, member.accusers.len()))
         {
             return;
         }
         if !member.counts() {
-            if saw == Look::Refused {
-                self.refused_lives.record(name, member.life, now);
+            if failure == ExchangeFailure::Refused {
+                self.refused_versions.record(name, member.version, now);
             }
             self.members.remove(name);
             return;
         }
-        let left = member.said_left && saw == Look::Refused;
-        member.state = if left { State::Left } else { State::Gone };
-        (member.since, member.travels) = (now, travels);
+        let has_left = member.is_reported_left && failure == ExchangeFailure::Refused;
+        member.state = if has_left { MemberState::Left } else { MemberState::Dead };
+        (member.since, member.transmits_left) = (now, retransmit_limit);
         let name = name.to_owned();
-        self.changes.push(if left { Change::Left(name) } else { Change::Gone(name) });
-    }
-
-    /// Those who are doubted are asked in each turn, and looked at.
-    fn probe_doubted(&mut self, out: &mut Vec<Act>) {
-        let doubted = self.members.iter().filter(|(_, m)| m.state == State::Doubted);
-        let doubted: Vec<_> = doubted.map(|(name, m)| (name.clone(), m.at, m.look_at)).collect();
-        for (name, at, look_at) in doubted {
-            self.ping(&name, at, out);
-            if self.now >= look_at {
-                self.look(at, out);
+        self.changes.push(if has_left { Change::Left(name) } else { Change::Gone(name) });
+    }
+
+    /// Probes all suspects at each probe interval, and begins exchanges with them.
+    fn probe_suspects(&mut self, actions: &mut Vec<Action>) {
+        let suspects = self.members.iter().filter(|(_, member)| member.state == MemberState::Suspect);
+        let suspects: Vec<_> =
+            suspects.map(|(name, member)| (name.clone(), member.address, member.next_exchange)).collect();
+        for (name, address, next_exchange) in suspects {
+            self.ping(&name, address, actions);
+            if self.now >= next_exchange {
+                self.begin_exchange(address, actions);
                 if let Some(member) = self.members.get_mut(&name) {
-                    member.look_at = self.now + LOOK_AGAIN;
+                    member.next_exchange = self.now + SUSPECT_EXCHANGE_INTERVAL;
                 }
             }
         }
     }
 
-    /// The next in turn; each once in an order of this member's own before any twice.
-    fn probe_next(&mut self, out: &mut Vec<Act>) {
-        while let Some(name) = self.order.pop() {
-            if let Some(at) = self.members.get(&name).filter(|m| m.state == State::Here).map(|m| m.at) {
-                return self.ping(&name, at, out);
+    /// Probes the next member. Each round probes every live member once, in a random order of this member's own.
+    fn probe_next(&mut self, actions: &mut Vec<Action>) {
+        while let Some(name) = self.probe_order.pop() {
+            let alive = self.members.get(&name).filter(|member| member.state == MemberState::Alive);
+            if let Some(address) = alive.map(|member| member.address) {
+                return self.ping(&name, address, actions);
             }
         }
-        let here = self.members.iter().filter(|(_, m)| m.state == State::Here);
-        self.order = here.map(|(name, _)| name.clone()).collect();
-        self.chance.shuffle(&mut self.order);
-        if let Some(name) = self.order.pop() {
-            let at = self.members[&name].at;
-            self.ping(&name, at, out);
+        let alive = self.members.iter().filter(|(_, member)| member.state == MemberState::Alive);
+        self.probe_order = alive.map(|(name, _)| name.clone()).collect();
+        self.rng.shuffle(&mut self.probe_order);
+        if let Some(name) = self.probe_order.pop() {
+            let address = self.members[&name].address;
+            self.ping(&name, address, actions);
         }
     }
 
-    fn ping(&mut self, name: &str, at: SocketAddr, out: &mut Vec<Act>) {
-        if self.probes.iter().any(|p| p.whom == name) {
+    fn ping(&mut self, name: &str, address: SocketAddr, actions: &mut Vec<Action>) {
+        if self.probes.iter().any(|probe| probe.target == name) {
             return;
         }
-        let number = self.number();
-        // What could not be said for want of bytes is nobody's silence.
-        if self.send(at, Body::Ping { number }, false, out) {
-            self.probes.push_back(Probe { number, whom: name.to_owned(), at: self.now, asked: false });
+        let seq = self.next_seq();
+        // A ping that was not sent for lack of bytes must not count as unanswered.
+        if self.send(address, Body::Ping { seq }, false, actions) {
+            let target = name.to_owned();
+            self.probes.push_back(Probe { seq, target, sent_at: self.now, is_indirect: false });
         }
     }
 
-    fn look(&mut self, at: SocketAddr, out: &mut Vec<Act>) {
+    fn begin_exchange(&mut self, address: SocketAddr, actions: &mut Vec<Action>) {
         let now = self.now;
-        self.looking.retain(|_, since| now < *since + LOOKS * 2);
-        if self.looking.len() < 32 && !self.looking.contains_key(&at) {
-            self.looking.insert(at, now);
-            out.push(Act::Look { at });
+        self.exchanges.retain(|_, began| now < *began + EXCHANGE_TIMEOUT * 2);
+        if self.exchanges.len() < MAX_EXCHANGES && !self.exchanges.contains_key(&address) {
+            self.exchanges.insert(address, now);
+            actions.push(Action::Exchange { address });
         }
     }
 
-    /// Peers that are not known yet, those who are gone, and now and then one who is here: what splits have parted comes
-    /// together again.
-    fn reach_out(&mut self, out: &mut Vec<Act>) {
+    /// Begins exchanges with unknown seed peers, with dead members, and from time to time with a live member, so that the
+    /// parts of a partition join again.
+    fn begin_due_exchanges(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        if now >= self.next_reach {
-            let scattered = REACHES.mul_f64(0.75 + 0.5 * self.chance.f64());
-            self.next_reach = now + scattered;
-            let gone = self.members.values().filter(|m| m.state == State::Gone).map(|m| m.at);
-            let unknown = self.peers.iter().copied().filter(|at| !self.members.values().any(|m| m.at == *at));
-            let far: Vec<_> = gone.chain(unknown).collect();
-            if self.answered_at.is_none() {
-                self.peers.clone().into_iter().for_each(|at| self.look(at, out));
-            } else if let Some(&at) = self.chance.choice(&far) {
-                self.look(at, out);
+        if now >= self.next_reconnect {
+            let jittered = RECONNECT_INTERVAL.mul_f64(0.75 + 0.5 * self.rng.f64());
+            self.next_reconnect = now + jittered;
+            let dead = self.members.values().filter(|member| member.state == MemberState::Dead);
+            let dead = dead.map(|member| member.address);
+            let is_known = |address| self.members.values().any(|member| member.address == address);
+            let unknown = self.seed_peers.iter().copied().filter(|&address| !is_known(address));
+            let candidates: Vec<_> = dead.chain(unknown).collect();
+            if self.last_answer_at.is_none() {
+                let seed_peers = self.seed_peers.clone();
+                seed_peers.into_iter().for_each(|address| self.begin_exchange(address, actions));
+            } else if let Some(&address) = self.rng.choice(&candidates) {
+                self.begin_exchange(address, actions);
             }
         }
         if now >= self.next_exchange {
-            let bytes = self.exchange().len() as f64 * 2.0;
-            let apart = EXCHANGES.max(Duration::from_secs_f64(bytes / EXCHANGED_A_SECOND));
-            self.next_exchange = now + apart.mul_f64(0.75 + 0.5 * self.chance.f64());
-            if let Some(at) = self.some(1, "").pop() {
-                self.look(at, out);
+            let bytes = self.exchange_message().len() as f64 * 2.0;
+            let interval =
+                MIN_EXCHANGE_INTERVAL.max(Duration::from_secs_f64(bytes / EXCHANGE_BYTES_PER_SECOND));
+            self.next_exchange = now + interval.mul_f64(0.75 + 0.5 * self.rng.f64());
+            if let Some(address) = self.random_alive(1, "").pop() {
+                self.begin_exchange(address, actions);
             }
         }
     }
 
-    /// Forgets those gone for long, where most are reached: a part of a split that does not keeps the count of all.
-    fn forget(&mut self) {
-        self.refused_lives.forget_before(self.now.saturating_sub(FORGET));
+    /// Forgets members that are dead or left for long, where most of the fleet is reached. The part of a partition that does
+    /// not reach most keeps the count of all.
+    fn forget_old_members(&mut self) {
+        self.refused_versions.drop_before(self.now.saturating_sub(FORGET_AFTER));
         if self.view().reach != Reach::Most {
             return;
         }
         let now = self.now;
-        let old = self.members.iter().filter(|(_, m)| m.state > State::Doubted && now > m.since + FORGET);
+        let old = self
+            .members
+            .iter()
+            .filter(|(_, member)| member.state > MemberState::Suspect && now > member.since + FORGET_AFTER);
         let old: Vec<_> = old.map(|(name, _)| name.clone()).collect();
         for name in old {
             self.members.remove(&name);
@@ -778,15 +851,17 @@
 }
 
 impl Member {
-    fn line(&self, name: &str) -> Line {
-        // Who only heard of a doubt does not spread it.
-        let own = self.state != State::Doubted || self.failed_since.is_some();
-        let state = if own { self.state } else { State::Here };
-        Line { name: name.to_owned(), at: self.at, life: self.life, state }
+    /// The record that is sent to others.
+    fn record(&self, name: &str) -> MemberRecord {
+        // A member that suspects another one by gossip only does not spread the suspicion.
+        let has_evidence = self.state != MemberState::Suspect || self.unanswered_since.is_some();
+        let state = if has_evidence { self.state } else { MemberState::Alive };
+        MemberRecord { name: name.to_owned(), address: self.address, version: self.version, state }
     }
 
-    /// It has answered, or two members that have say that it is there.
+    /// Whether it counts as a member of the fleet: it has answered this member, or two members that have answered vouch for
+    /// it.
     fn counts(&self) -> bool {
-        self.met || self.vouched.len() > 1
+        self.has_answered || self.vouchers.len() > 1
     }
 }
--- a/crates/membership/src/driver.rs
+++ b/crates/membership/src/driver.rs
@@ -1,10 +1,10 @@
-//! Sockets for the core, on a calloop loop: a datagram socket, a listener for looks, connections of looks, one timer. No
-//! thread, and nothing is decided here.
+//! The sockets of a member, on a calloop loop: a datagram socket, a listener for exchanges, connections of exchanges, and
+//! one timer. It starts no thread and makes no decisions.
 
-use crate::core::{Act, Membership, Myself};
+use crate::core::{Action, LocalMember, Membership};
 use crate::errors::MembershipError;
-use crate::health::{LOOKS, Look};
-use crate::message::{DATAGRAM_MOST, EXCHANGE_MOST};
+use crate::health::{EXCHANGE_TIMEOUT, ExchangeFailure};
+use crate::message::{MAX_DATAGRAM_BYTES, MAX_EXCHANGE_BYTES};
 use crate::view::{Change, View};
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
@@ -17,45 +17,53 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Datagrams read before the loop's other work goes on: a flood must not keep the dispatcher from its GETs.
-const READ_AT_ONCE: usize = 64;
-/// Looks at this member at once; more wait in the listener's queue.
-const LOOKED_AT_MOST: usize = 64;
+/// Datagrams read before the loop's other work continues: a flood must not keep the dispatcher from its GETs.
+const MAX_DATAGRAMS_PER_READ: usize = 64;
+/// Exchanges that others may have open here. More of them wait in the listener's queue.
+const MAX_INBOUND_EXCHANGES: usize = 64;
 
-/// What an operator tells of this member.
+/// The operator's settings of this member.
 #[derive(Clone, Debug)]
 pub struct Startup {
     pub name: String,
     pub fleet: String,
     pub listen: SocketAddr,
     /// Where others reach it, if that is another address.
-    pub reached_at: Option<SocketAddr>,
-    pub peers: Vec<SocketAddr>,
-    /// Members that operators told.
-    pub told: usize,
+    pub advertised: Option<SocketAddr>,
+    pub seed_peers: Vec<SocketAddr>,
+    /// The configured number of members.
+    pub expected_members: usize,
 }
 
-/// What the loop's owner is told: the view as it is now, for how many sources are shared out, and what changed.
-pub struct Told<'a> {
+/// A change, with the view after it and the number of members that share sources.
+pub struct ViewUpdate<'a> {
     pub view: View,
-    pub sharers: usize,
+    pub source_sharers: usize,
     pub change: &'a Change,
 }
 
-type Heard<D> = dyn Fn(&mut D, Told<'_>);
+type Handler<D> = dyn Fn(&mut D, ViewUpdate<'_>);
+
+/// An exchange that this member began.
+#[derive(Clone, Copy)]
+struct OutboundExchange {
+    token: RegistrationToken,
+    began: Instant,
+    is_connected: bool,
+}
 
 struct Inner<D: 'static> {
     core: Membership,
     datagrams: UdpSocket,
     listen: SocketAddr,
-    began: Instant,
-    hub: LoopHandle<'static, D>,
-    heard: Rc<Heard<D>>,
-    looks: BTreeMap<SocketAddr, (RegistrationToken, Instant, bool)>,
-    looked_at: usize,
+    started_at: Instant,
+    event_loop: LoopHandle<'static, D>,
+    on_change: Rc<Handler<D>>,
+    outbound_exchanges: BTreeMap<SocketAddr, OutboundExchange>,
+    inbound_exchanges: usize,
 }
 
-/// A member on a loop.
+/// A member on an event loop.
 pub struct Member<D: 'static>(Rc<RefCell<Inner<D>>>);
 
 impl<D> Clone for Member<D> {
@@ -65,66 +73,72 @@
 }
 
 impl<D: 'static> Member<D> {
-    /// Takes the sockets and begins to look for its peers; `heard` is told of every change.
+    /// Opens the sockets and begins to connect to the seed peers; `on_change` is called for every change.
     ///
     /// # Errors
-    /// An address that can't be listened on, a name that can't be told, a loop that takes no more sources.
+    /// The address cannot be listened on, the name has an invalid length, or the event loop takes no more sources.
     pub fn start(
-        hub: &LoopHandle<'static, D>,
+        event_loop: &LoopHandle<'static, D>,
         startup: &Startup,
-        heard: impl Fn(&mut D, Told<'_>) + 'static,
+        on_change: impl Fn(&mut D, ViewUpdate<'_>) + 'static,
     ) -> Result<Self, MembershipError> {
         let listen = startup.listen;
-        let socket =
-            |what: &'static str| move |why: io::Error| MembershipError::Socket { what, at: listen, why };
-        let datagrams = UdpSocket::bind(listen).map_err(socket("datagrams at"))?;
-        datagrams.set_nonblocking(true).map_err(socket("datagrams at"))?;
-        let listener = listening(listen).map_err(socket("looks at"))?;
+        let socket_error = |what: &'static str| {
+            move |error: io::Error| MembershipError::Socket { what, address: listen, error }
+        };
+        let datagrams = UdpSocket::bind(listen).map_err(socket_error("datagram socket"))?;
+        datagrams.set_nonblocking(true).map_err(socket_error("datagram socket"))?;
+        let listener = open_listener(listen).map_err(socket_error("exchange listener"))?;
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let myself = Myself {
+        let local = LocalMember {
             name: startup.name.clone(),
-            at: startup.reached_at.unwrap_or(listen),
+            address: startup.advertised.unwrap_or(listen),
             fleet: startup.fleet.clone(),
             generation: unix_ms,
         };
-        let core =
-            Membership::new(myself, startup.peers.clone(), startup.told, fastrand::u64(..), Duration::ZERO)?;
-        let reader = datagrams.try_clone().map_err(socket("datagrams at"))?;
+        let core = Membership::new(
+            local,
+            startup.seed_peers.clone(),
+            startup.expected_members,
+            fastrand::u64(..),
+            Duration::ZERO,
+        )?;
+        let reader = datagrams.try_clone().map_err(socket_error("datagram socket"))?;
         let member = Self(Rc::new(RefCell::new(Inner {
             core,
             datagrams,
             listen,
-            began: Instant::now(),
-            hub: hub.clone(),
-            heard: Rc::new(heard),
-            looks: BTreeMap::new(),
-            looked_at: 0,
+            started_at: Instant::now(),
+            event_loop: event_loop.clone(),
+            on_change: Rc::new(on_change),
+            outbound_exchanges: BTreeMap::new(),
+            inbound_exchanges: 0,
         })));
-        let taken = |what: &'static str| {
-            move |why: calloop::Error| MembershipError::Loop { what, why: why.to_string() }
+        let loop_error = |what: &'static str| {
+            move |error: calloop::Error| MembershipError::EventLoop { what, error: error.to_string() }
         };
-        let of = member.clone();
+        let this = member.clone();
         let source = Generic::new(reader, Interest::READ, Mode::Level);
-        let into = hub.insert_source(source, move |_, _, owner| {
-            of.read(owner);
+        let inserted = event_loop.insert_source(source, move |_, _, owner| {
+            this.read_datagrams(owner);
             Ok(PostAction::Continue)
         });
-        into.map_err(|e| taken("datagrams")(e.error))?;
-        let of = member.clone();
+        inserted.map_err(|e| loop_error("datagram socket")(e.error))?;
+        let this = member.clone();
         let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let into = hub.insert_source(source, move |_, listener, _| {
-            of.accept(listener);
+        let inserted = event_loop.insert_source(source, move |_, listener, _| {
+            this.accept(listener);
             Ok(PostAction::Continue)
         });
-        into.map_err(|e| taken("looks")(e.error))?;
-        let of = member.clone();
-        let timer = hub.insert_source(Timer::immediate(), move |_, (), owner| {
-            of.with(owner, |core, now, out| core.turn(now, out));
-            let inner = of.0.borrow();
-            let due = inner.core.due().saturating_sub(inner.began.elapsed());
-            TimeoutAction::ToDuration(due.max(Duration::from_millis(1)))
+        inserted.map_err(|e| loop_error("exchange listener")(e.error))?;
+        let this = member.clone();
+        let timer = event_loop.insert_source(Timer::immediate(), move |_, (), owner| {
+            this.with_core(owner, |core, now, actions| core.on_timer(now, actions));
+            let inner = this.0.borrow();
+            let delay = inner.core.next_timeout().saturating_sub(inner.started_at.elapsed());
+            TimeoutAction::ToDuration(delay.max(Duration::from_millis(1)))
         });
-        timer.map_err(|e| taken("a timer")(e.error))?;
+        timer.map_err(|e| loop_error("timer")(e.error))?;
         Ok(member)
     }
 
@@ -132,198 +146,212 @@
         self.0.borrow().core.view()
     }
 
-    /// Tells all who are here that this one leaves.
+    /// Announces to all live members that this one leaves.
     pub fn leave(&self, owner: &mut D) {
-        self.with(owner, |core, _, out| core.leave(out));
+        self.with_core(owner, |core, _, actions| core.leave(actions));
     }
 
-    /// One line for the counters.
-    pub fn line(&self) -> String {
+    /// One line for the report of counters.
+    pub fn summary(&self) -> String {
         let inner = self.0.borrow();
-        let View { epoch, here, doubted, gone, known, reach } = inner.core.view();
-        let (said, refused) = (inner.core.said, inner.core.refused);
+        let View { epoch, alive, suspect, dead, known, reach } = inner.core.view();
+        let (bytes_sent, rejected) = (inner.core.bytes_sent, inner.core.rejected_messages);
         format!(
-            "members: epoch {epoch}, {here} here, {doubted} doubted, {gone} gone of {known} known, {reach:?}; \
-             {said} bytes said, {refused} messages refused"
+            "members: epoch {epoch}, {alive} here, {suspect} doubted, {dead} gone of {known} known, {reach:?}; \
+             {bytes_sent} bytes said, {rejected} messages refused"
         )
     }
 
-    /// Hands the core what came, and does what it says.
-    fn with(&self, owner: &mut D, what: impl FnOnce(&mut Membership, Duration, &mut Vec<Act>)) {
-        let mut out = Vec::new();
+    /// Calls the core and carries out the actions that it returns.
+    fn with_core(&self, owner: &mut D, call: impl FnOnce(&mut Membership, Duration, &mut Vec<Action>)) {
+        let mut actions = Vec::new();
         {
             let mut inner = self.0.borrow_mut();
-            let now = inner.began.elapsed();
-            what(&mut inner.core, now, &mut out);
+            let now = inner.started_at.elapsed();
+            call(&mut inner.core, now, &mut actions);
         }
-        for act in out {
-            match act {
-                // What the system does not take now is lost, as on the way.
-                Act::Send { to, bytes } => drop(self.0.borrow().datagrams.send_to(&bytes, to)),
-                Act::Look { at } => self.look(at),
-                Act::Changed(change) => {
-                    let (view, sharers, heard) = {
+        for action in actions {
+            match action {
+                // A datagram that the system does not accept is lost, as it could be on the network.
+                Action::Send { to, bytes } => drop(self.0.borrow().datagrams.send_to(&bytes, to)),
+                Action::Exchange { address } => self.begin_exchange(address),
+                Action::Changed(change) => {
+                    let (view, source_sharers, on_change) = {
                         let inner = self.0.borrow();
-                        (inner.core.view(), inner.core.sharers(), Rc::clone(&inner.heard))
+                        (inner.core.view(), inner.core.source_sharers(), Rc::clone(&inner.on_change))
                     };
-                    heard(owner, Told { view, sharers, change: &change });
+                    on_change(owner, ViewUpdate { view, source_sharers, change: &change });
                 }
             }
         }
     }
 
-    fn read(&self, owner: &mut D) {
-        let mut bytes = [0; DATAGRAM_MOST + 1];
-        for _ in 0..READ_AT_ONCE {
-            let came = self.0.borrow().datagrams.recv_from(&mut bytes);
-            match came {
-                Ok((length, from)) => self.with(owner, |core, now, out| {
-                    if let Err(why) = core.heard(&bytes[..length], now, out) {
-                        log::debug!(from:%; "a message of no member: {why}");
+    fn read_datagrams(&self, owner: &mut D) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+        for _ in 0..MAX_DATAGRAMS_PER_READ {
+            let received = self.0.borrow().datagrams.recv_from(&mut buffer);
+            match received {
+                Ok((length, from)) => self.with_core(owner, |core, now, actions| {
+                    if let Err(error) = core.on_datagram(&buffer[..length], now, actions) {
+                        log::debug!(from:%; "ignoring a datagram that is not from a member: {error}");
                     }
                 }),
-                // One sent to a port where nobody listens comes back so; the next may be a message.
+                // An earlier datagram to a port without a listener is reported this way; the next read may succeed.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset) => {}
                 Err(_) => return,
             }
         }
     }
 
-    /// Another looks at this member: what it says is read to its end, then all that is known here goes back.
+    /// Accepts exchanges that others begin: reads their message to its end, then answers with all that is known here.
     fn accept(&self, listener: &TcpListener) {
-        while self.0.borrow().looked_at < LOOKED_AT_MOST {
+        while self.0.borrow().inbound_exchanges < MAX_INBOUND_EXCHANGES {
             let Ok((stream, _)) = listener.accept() else { return };
-            let hub = self.0.borrow().hub.clone();
+            let event_loop = self.0.borrow().event_loop.clone();
             if stream.set_nonblocking(true).is_err() {
                 continue;
             }
-            self.0.borrow_mut().looked_at += 1;
-            let (of, mut talk, mut asked, began) =
-                (self.clone(), Talk::new(Vec::new()), false, Instant::now());
+            self.0.borrow_mut().inbound_exchanges += 1;
+            let (this, began) = (self.clone(), Instant::now());
+            let (mut transfer, mut is_received) = (Transfer::new(Vec::new()), false);
             let source = Generic::new(stream, Interest::BOTH, Mode::Edge);
-            let into = hub.insert_source(source, move |_, stream, _| {
-                let mut ended = began.elapsed() > LOOKS * 4;
-                if !asked && let Some(whole) = talk.read(stream) {
-                    asked = true;
-                    match of.take(&talk.answer) {
-                        Some(all) if whole => talk.say = all,
-                        _ => ended = true,
+            let inserted = event_loop.insert_source(source, move |_, stream, _| {
+                let mut is_finished = began.elapsed() > EXCHANGE_TIMEOUT * 4;
+                if !is_received && let Some(is_complete) = transfer.read(stream) {
+                    is_received = true;
+                    match this.answer_exchange(&transfer.received) {
+                        Some(answer) if is_complete => transfer.outgoing = answer,
+                        _ => is_finished = true,
                     }
                 }
-                ended |= asked && talk.write(stream) != Some(false);
-                if !ended {
+                is_finished |= is_received && transfer.write(stream) != Some(false);
+                if !is_finished {
                     return Ok(PostAction::Continue);
                 }
-                of.0.borrow_mut().looked_at -= 1;
+                this.0.borrow_mut().inbound_exchanges -= 1;
                 Ok(PostAction::Remove)
             });
-            if into.is_err() {
-                self.0.borrow_mut().looked_at -= 1;
+            if inserted.is_err() {
+                self.0.borrow_mut().inbound_exchanges -= 1;
             }
         }
     }
 
-    /// What one who looks here says is taken; all that is known here, unless it is no member.
-    fn take(&self, said: &[u8]) -> Option<Vec<u8>> {
+    /// The answer to an exchange that another member began; none if the message is rejected.
+    fn answer_exchange(&self, message: &[u8]) -> Option<Vec<u8>> {
         let mut inner = self.0.borrow_mut();
-        let now = inner.began.elapsed();
-        inner.core.asked(said, now).inspect_err(|why| log::debug!("a look of no member: {why}")).ok()
+        let now = inner.started_at.elapsed();
+        let answer = inner.core.on_exchange(message, now);
+        answer.inspect_err(|error| log::debug!("closing an exchange that is not from a member: {error}")).ok()
     }
 
-    /// Looks at a member: whether anything listens there, and what it knows.
-    fn look(&self, at: SocketAddr) {
-        let (hub, listen) = (self.0.borrow().hub.clone(), self.0.borrow().listen);
-        let stream = match connecting(listen.ip(), at) {
+    /// Begins an exchange: finds out whether anything listens at the address, and what it knows.
+    fn begin_exchange(&self, at: SocketAddr) {
+        let (event_loop, listen) = (self.0.borrow().event_loop.clone(), self.0.borrow().listen);
+        let stream = match open_connection(listen.ip(), at) {
             Ok(stream) => stream,
             Err(e) => {
-                let saw = if e.kind() == ErrorKind::ConnectionRefused { Look::Refused } else { Look::Silent };
-                let of = self.clone();
-                let _ = hub.insert_source(Timer::immediate(), move |_, (), owner| {
-                    of.with(owner, |core, now, _| drop(core.looked(at, Err(saw), now)));
+                let failure = if e.kind() == ErrorKind::ConnectionRefused {
+                    ExchangeFailure::Refused
+                } else {
+                    ExchangeFailure::Unreachable
+                };
+                let this = self.clone();
+                let _ = event_loop.insert_source(Timer::immediate(), move |_, (), owner| {
+                    this.with_core(owner, |core, now, _| {
+                        drop(core.on_exchange_result(at, Err(failure), now));
+                    });
                     TimeoutAction::Drop
                 });
                 return;
             }
         };
-        let (of, asks) = (self.clone(), self.0.borrow().core.exchange());
-        let mut talk = Talk::new(asks);
-        let (mut up, mut closed) = (false, false);
+        let (this, message) = (self.clone(), self.0.borrow().core.exchange_message());
+        let mut transfer = Transfer::new(message);
+        let (mut is_connected, mut is_write_closed) = (false, false);
         let source = Generic::new(stream, Interest::BOTH, Mode::Edge);
-        let into = hub.insert_source(source, move |_, stream, owner| {
+        let inserted = event_loop.insert_source(source, move |_, stream, owner| {
             let stream: &TcpStream = stream;
-            let broken = match stream.take_error() {
+            let stream_error = match stream.take_error() {
                 Ok(None) => None,
                 Ok(Some(e)) | Err(e) => Some(e),
             };
-            if broken.is_none() && !up {
+            if stream_error.is_none() && !is_connected {
                 if stream.peer_addr().is_err() {
                     return Ok(PostAction::Continue);
                 }
-                up = true;
-                if let Some(look) = of.0.borrow_mut().looks.get_mut(&at) {
-                    look.2 = true;
+                is_connected = true;
+                if let Some(exchange) = this.0.borrow_mut().outbound_exchanges.get_mut(&at) {
+                    exchange.is_connected = true;
                 }
             }
-            let came = match broken {
-                Some(e) => Some(Err(refused(&e))),
+            let result = match stream_error {
+                Some(e) => Some(Err(failure_of(&e))),
                 None => {
-                    if !closed && talk.write(stream) == Some(true) {
-                        closed = true;
+                    if !is_write_closed && transfer.write(stream) == Some(true) {
+                        is_write_closed = true;
                         let _ = stream.shutdown(Shutdown::Write);
                     }
-                    match talk.read(stream) {
+                    match transfer.read(stream) {
                         None => None,
-                        Some(true) if !talk.answer.is_empty() => Some(Ok(std::mem::take(&mut talk.answer))),
-                        // Closed, or reset, without a word: nobody is there who would speak.
-                        Some(_) => Some(Err(Look::Refused)),
+                        Some(true) if !transfer.received.is_empty() => {
+                            Some(Ok(std::mem::take(&mut transfer.received)))
+                        }
+                        // Closed or reset without an answer: no member listens there.
+                        Some(_) => Some(Err(ExchangeFailure::Refused)),
                     }
                 }
             };
-            let Some(came) = came else { return Ok(PostAction::Continue) };
-            of.0.borrow_mut().looks.remove(&at);
-            of.with(owner, |core, now, out| {
-                let saw = came.as_deref().map_err(|saw| *saw);
-                if let Err(why) = core.looked(at, saw, now) {
-                    log::debug!(at:%; "a look brought nothing: {why}");
+            let Some(result) = result else { return Ok(PostAction::Continue) };
+            this.0.borrow_mut().outbound_exchanges.remove(&at);
+            this.with_core(owner, |core, now, actions| {
+                let result = result.as_deref().map_err(|failure| *failure);
+                if let Err(error) = core.on_exchange_result(at, result, now) {
+                    log::debug!(at:%; "ignoring the answer to an exchange: {error}");
                 }
-                core.turn(now, out);
+                core.on_timer(now, actions);
             });
             Ok(PostAction::Remove)
         });
-        let Ok(token) = into else { return };
+        let Ok(token) = inserted else { return };
         let began = Instant::now();
-        self.0.borrow_mut().looks.insert(at, (token, began, false));
-        let of = self.clone();
-        let _ = hub.insert_source(Timer::from_duration(LOOKS), move |_, (), owner| {
-            let look = of.0.borrow().looks.get(&at).copied().filter(|look| look.1 == began);
-            if let Some((token, _, up)) = look {
-                of.0.borrow_mut().looks.remove(&at);
-                of.0.borrow().hub.remove(token);
-                let saw = if up { Look::Mute } else { Look::Silent };
-                of.with(owner, |core, now, _| drop(core.looked(at, Err(saw), now)));
+        let exchange = OutboundExchange { token, began, is_connected: false };
+        self.0.borrow_mut().outbound_exchanges.insert(at, exchange);
+        let this = self.clone();
+        let _ = event_loop.insert_source(Timer::from_duration(EXCHANGE_TIMEOUT), move |_, (), owner| {
+            let exchange = this.0.borrow().outbound_exchanges.get(&at).copied();
+            if let Some(exchange) = exchange.filter(|exchange| exchange.began == began) {
+                this.0.borrow_mut().outbound_exchanges.remove(&at);
+                this.0.borrow().event_loop.remove(exchange.token);
+                let failure = if exchange.is_connected {
+                    ExchangeFailure::Unanswered
+                } else {
+                    ExchangeFailure::Unreachable
+                };
+                this.with_core(owner, |core, now, _| drop(core.on_exchange_result(at, Err(failure), now)));
             }
             TimeoutAction::Drop
         });
     }
 }
 
-fn refused(e: &io::Error) -> Look {
-    match e.kind() {
-        ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => Look::Refused,
-        _ => Look::Silent,
+fn failure_of(error: &io::Error) -> ExchangeFailure {
+    match error.kind() {
+        ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => ExchangeFailure::Refused,
+        _ => ExchangeFailure::Unreachable,
     }
 }
 
-fn listening(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(at), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+fn open_listener(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
+    socket.bind(&address.into())?;
     socket.listen(128)?;
     Ok(socket.into())
 }
 
-/// From this member's own address, by which a network tells who asks.
-fn connecting(from: IpAddr, to: SocketAddr) -> io::Result<TcpStream> {
+/// Connects from this member's own address, so that the network can tell which member connects.
+fn open_connection(from: IpAddr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.bind(&SocketAddr::new(from, 0).into())?;
@@ -333,23 +361,23 @@
     }
 }
 
-/// One side's bytes out, the other's in.
-struct Talk {
-    say: Vec<u8>,
-    said: usize,
-    answer: Vec<u8>,
+/// The bytes of an exchange on one connection, in both directions.
+struct Transfer {
+    outgoing: Vec<u8>,
+    written: usize,
+    received: Vec<u8>,
 }
 
-impl Talk {
-    fn new(say: Vec<u8>) -> Self {
-        Self { say, said: 0, answer: Vec::new() }
+impl Transfer {
+    fn new(outgoing: Vec<u8>) -> Self {
+        Self { outgoing, written: 0, received: Vec::new() }
     }
 
-    /// Whether all is written; none: the other side is gone.
+    /// Whether all is written. None: the peer is gone.
     fn write(&mut self, mut stream: &TcpStream) -> Option<bool> {
-        while self.said < self.say.len() {
-            match stream.write(&self.say[self.said..]) {
-                Ok(n) => self.said += n,
+        while self.written < self.outgoing.len() {
+            match stream.write(&self.outgoing[self.written..]) {
+                Ok(count) => self.written += count,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Some(false),
                 Err(_) => return None,
             }
@@ -357,14 +385,14 @@
         Some(true)
     }
 
-    /// Whether the other side has said all; false where it broke off or said too much.
+    /// Whether the peer's message is complete: false where it was cut off or is too long. None: more is to come.
     fn read(&mut self, mut stream: &TcpStream) -> Option<bool> {
-        let mut bytes = [0; 16 * 1024];
+        let mut buffer = [0; 16 * 1024];
         loop {
-            match stream.read(&mut bytes) {
+            match stream.read(&mut buffer) {
                 Ok(0) => return Some(true),
-                Ok(_) if self.answer.len() > EXCHANGE_MOST => return Some(false),
-                Ok(n) => self.answer.extend_from_slice(&bytes[..n]),
+                Ok(_) if self.received.len() > MAX_EXCHANGE_BYTES => return Some(false),
+                Ok(count) => self.received.extend_from_slice(&buffer[..count]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
                 Err(_) => return Some(false),
             }
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,121 +1,132 @@
-//! What a member thinks of itself, and of how it comes to hold another for gone: plain arithmetic on what was seen.
+//! A member's local health, and how long a suspect member is given before it is declared dead: plain arithmetic on what
+//! was observed.
 
 use std::time::Duration;
 
-/// How often one member is asked whether it is there, by each.
-pub const EVERY: Duration = Duration::from_millis(200);
-/// From a ping to asking others for an answer, and from there to a failure; times the strain.
-pub const PATIENCE: Duration = Duration::from_millis(120);
-/// A look that brought no answer in this time is over.
-pub const LOOKS: Duration = Duration::from_millis(600);
-/// A doubted member that says nothing to anybody is held for gone after this, with no other accuser and with enough; times
-/// the strain. The least is over a switch's or a route's change.
-const SILENT: (Duration, Duration) = (Duration::from_millis(6000), Duration::from_millis(1200));
-/// One whose machine takes connections that nobody answers is frozen, starved or swapping, and may come back; longer than
-/// operators' longest pause (10 s).
-const MUTE: Duration = Duration::from_millis(14_000);
-/// Other accusers that are enough.
-const ENOUGH: f64 = 3.0;
-/// Without an answer by anybody for so long a member doubts itself and accuses nobody; times the strain, up to a most.
-pub const ALONE: Duration = Duration::from_millis(1000);
-const ALONE_STRAIN: f64 = 2.5;
-/// A turn that comes so much late: this process did not run.
-pub const PAUSE: Duration = Duration::from_millis(150);
-/// The strain of one whose every ping fails, over one whose none does.
-const STRAIN: f64 = 7.0;
-/// Weight of a ping in the share that fail: some twenty of them.
-const BLEND: f64 = 0.05;
-/// Strain after a pause, as a share of pings that failed; it passes as pings succeed.
-const WOKEN: f64 = 0.3;
-
-/// What a look at a doubted member saw.
+/// How often each member probes another one.
+pub const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// From a direct probe to the indirect probes, and from those to the failure of the probe; multiplied by the local health
+/// multiplier.
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
+/// An exchange that brought no answer within this time has failed.
+pub const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long a member that nothing reaches stays suspect until it is declared dead: the maximum with no other accuser, the
+/// minimum with enough of them; multiplied by the local health multiplier. The minimum is longer than a switch or a route
+/// takes to change.
+const MAX_SUSPICION_TIMEOUT: Duration = Duration::from_millis(6000);
+const MIN_SUSPICION_TIMEOUT: Duration = Duration::from_millis(1200);
+/// The same for a member whose machine accepts connections that nobody answers. Its process is frozen, starved or swapping,
+/// and may recover; the time is longer than operators' longest pause (10 s).
+const UNANSWERED_SUSPICION_TIMEOUT: Duration = Duration::from_millis(14_000);
+/// The number of other accusers with which the minimum applies.
+const ACCUSERS_FOR_MIN_TIMEOUT: f64 = 3.0;
+/// A member that received no answer from anybody for this time regards itself as isolated and accuses nobody; multiplied by
+/// the local health multiplier, up to a maximum.
+pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1000);
+const MAX_ISOLATION_MULTIPLIER: f64 = 2.5;
+/// A timer that fires this late shows that the process did not run.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(150);
+/// What is added to the health multiplier of a member whose probes all fail, over one whose probes all succeed.
+const MULTIPLIER_RANGE: f64 = 7.0;
+/// Weight of a probe in the fraction that fails: the average is over some twenty probes.
+const AVERAGE_WEIGHT: f64 = 0.05;
+/// The fraction of failed probes that is assumed after a pause; it decreases as probes succeed.
+const FAILED_AFTER_PAUSE: f64 = 0.3;
+
+/// Why an exchange with a member failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
-    /// Its machine says that nothing listens there: the process is gone.
+pub enum ExchangeFailure {
+    /// The machine reports that nothing listens there: the process is gone.
     Refused,
-    /// A connection came up, and nobody answered on it.
-    Mute,
-    /// Not even a connection.
-    Silent,
+    /// A connection was established, but nobody answered on it.
+    Unanswered,
+    /// No connection was established.
+    Unreachable,
 }
 
-/// This member's own state: how many of its pings fail, though those whom it asks are there.
+/// This member's own health: the fraction of its probes that fail although the probed members are alive.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    failing: f64,
+    failed_fraction: f64,
 }
 
 impl Health {
-    pub fn pinged(&mut self, answered: bool) {
-        self.failing += BLEND * (f64::from(u8::from(!answered)) - self.failing);
+    pub fn record_probe(&mut self, is_answered: bool) {
+        let failed = f64::from(u8::from(!is_answered));
+        self.failed_fraction += AVERAGE_WEIGHT * (failed - self.failed_fraction);
     }
 
-    pub fn woke(&mut self) {
-        self.failing = self.failing.max(WOKEN);
+    /// This process did not run for a while.
+    pub fn on_pause(&mut self) {
+        self.failed_fraction = self.failed_fraction.max(FAILED_AFTER_PAUSE);
     }
 
-    /// Times that all patience is longer. Guards members against one that is slow, or whose ways lose; it hurts by slower
-    /// news of a death there, and where many die at once.
-    pub fn strain(&self) -> f64 {
-        1.0 + STRAIN * self.failing
+    /// The local health multiplier, by which all timeouts are longer. It guards other members against a member that is slow
+    /// or whose network paths lose datagrams. The cost is that a death is detected later there, and where many die at once.
+    pub fn multiplier(&self) -> f64 {
+        1.0 + MULTIPLIER_RANGE * self.failed_fraction
     }
 
-    /// Without an answer for so long a member doubts itself: sooner than it would others under the same strain.
-    pub fn alone_after(&self) -> Duration {
-        ALONE.mul_f64(self.strain().min(ALONE_STRAIN))
+    /// Without an answer for this time a member regards itself as isolated: sooner than it would declare others dead at the
+    /// same multiplier.
+    pub fn isolation_timeout(&self) -> Duration {
+        ISOLATION_TIMEOUT.mul_f64(self.multiplier().min(MAX_ISOLATION_MULTIPLIER))
     }
 
-    /// For how long a member is doubted before it is held for gone.
-    pub fn doubt_lasts(&self, saw: Look, others: usize) -> Duration {
-        match saw {
-            Look::Refused => Duration::ZERO,
-            Look::Mute => MUTE,
-            Look::Silent => {
-                let (most, least) = SILENT;
-                let heard = ((others as f64 + 1.0).ln() / (ENOUGH + 1.0).ln()).min(1.0);
-                (most - (most - least).mul_f64(heard)).mul_f64(self.strain())
+    /// How long a member stays suspect before it is declared dead.
+    pub fn suspicion_timeout(&self, failure: ExchangeFailure, other_accusers: usize) -> Duration {
+        match failure {
+            ExchangeFailure::Refused => Duration::ZERO,
+            ExchangeFailure::Unanswered => UNANSWERED_SUSPICION_TIMEOUT,
+            ExchangeFailure::Unreachable => {
+                let (max, min) = (MAX_SUSPICION_TIMEOUT, MIN_SUSPICION_TIMEOUT);
+                let confirmation =
+                    ((other_accusers as f64 + 1.0).ln() / (ACCUSERS_FOR_MIN_TIMEOUT + 1.0).ln()).min(1.0);
+                (max - (max - min).mul_f64(confirmation)).mul_f64(self.multiplier())
             }
         }
     }
 }
 
-/// Bytes that may be said: a bound on what a member costs its network, whatever others do to it.
+/// A token bucket of bytes that may be sent: bounds what a member costs its network, whatever other members do to it.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
-    left: f64,
-    at: Duration,
+pub struct TokenBucket {
+    tokens: f64,
+    filled_at: Duration,
 }
 
-/// Bytes a second, and as many saved.
-pub const BYTES_A_SECOND: f64 = 2300.0;
-const SAVED: f64 = BYTES_A_SECOND;
-/// Part of what is saved that answers may not use up: one who floods must not keep this member from asking. And the part
-/// under which nothing but pings and answers is said: news that left no bytes for answers would make doubts, and those news.
-const KEPT: f64 = 0.2;
-const KEPT_FROM_NEWS: f64 = 0.6;
+/// The fill rate of the bucket, and its capacity.
+pub const BYTES_PER_SECOND: f64 = 2300.0;
+const CAPACITY_BYTES: f64 = BYTES_PER_SECOND;
+/// The fraction of the capacity that answers may not use up: a flood of messages must not keep this member from probing.
+const RESERVED_FROM_ANSWERS: f64 = 0.2;
+/// Below this fraction of the capacity only pings and answers are sent. Gossip that left no bytes for answers would make
+/// members suspect, and that would cause more gossip.
+const RESERVED_FROM_GOSSIP: f64 = 0.6;
 
-impl Bucket {
+impl TokenBucket {
     pub fn new(now: Duration) -> Self {
-        Self { left: SAVED, at: now }
+        Self { tokens: CAPACITY_BYTES, filled_at: now }
     }
 
     fn fill(&mut self, now: Duration) {
-        let gained = now.saturating_sub(self.at).as_secs_f64() * BYTES_A_SECOND;
-        (self.left, self.at) = ((self.left + gained).min(SAVED), now);
+        let gained = now.saturating_sub(self.filled_at).as_secs_f64() * BYTES_PER_SECOND;
+        (self.tokens, self.filled_at) = ((self.tokens + gained).min(CAPACITY_BYTES), now);
     }
 
-    /// Whether there is room for news.
-    pub fn has_news_left(&mut self, now: Duration) -> bool {
+    /// Whether there are bytes for gossip.
+    pub fn allows_gossip(&mut self, now: Duration) -> bool {
         self.fill(now);
-        self.left > SAVED * KEPT_FROM_NEWS
+        self.tokens > CAPACITY_BYTES * RESERVED_FROM_GOSSIP
     }
 
-    pub fn takes(&mut self, bytes: usize, is_answer: bool, now: Duration) -> bool {
+    /// Takes the bytes of a message; false where there are too few.
+    pub fn try_take(&mut self, bytes: usize, is_answer: bool, now: Duration) -> bool {
         self.fill(now);
-        let least = if is_answer { SAVED * KEPT } else { 0.0 };
-        let fits = self.left - bytes as f64 >= least;
+        let reserved = if is_answer { CAPACITY_BYTES * RESERVED_FROM_ANSWERS } else { 0.0 };
+        let fits = self.tokens - bytes as f64 >= reserved;
         if fits {
-            self.left -= bytes as f64;
+            self.tokens -= bytes as f64;
         }
         fits
     }
@@ -123,26 +134,26 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Bucket, Health, Look};
+    use super::{ExchangeFailure, Health, TokenBucket};
     use std::time::Duration;
 
     #[test]
-    fn doubt_is_shorter_with_accusers_and_longer_under_strain() {
+    fn the_suspicion_timeout_shrinks_with_accusers_and_grows_with_the_health_multiplier() {
         let ms = Duration::from_millis;
         let mut health = Health::default();
-        assert_eq!(health.doubt_lasts(Look::Silent, 0), ms(6000));
-        assert_eq!(health.doubt_lasts(Look::Silent, 3), ms(1200));
-        assert_eq!(health.doubt_lasts(Look::Refused, 0), ms(0));
-        (0..200).for_each(|n| health.pinged(n % 2 == 0));
-        assert!((4.0..5.2).contains(&health.strain()), "{}", health.strain());
-        assert!(health.doubt_lasts(Look::Silent, 3) > ms(4500));
+        assert_eq!(health.suspicion_timeout(ExchangeFailure::Unreachable, 0), ms(6000));
+        assert_eq!(health.suspicion_timeout(ExchangeFailure::Unreachable, 3), ms(1200));
+        assert_eq!(health.suspicion_timeout(ExchangeFailure::Refused, 0), ms(0));
+        (0..200).for_each(|n| health.record_probe(n % 2 == 0));
+        assert!((4.0..5.2).contains(&health.multiplier()), "{}", health.multiplier());
+        assert!(health.suspicion_timeout(ExchangeFailure::Unreachable, 3) > ms(4500));
     }
 
     #[test]
-    fn answers_to_a_flood_leave_what_own_pings_need() {
-        let mut bucket = Bucket::new(Duration::ZERO);
-        let answered = (0..1000).filter(|_| bucket.takes(60, true, Duration::ZERO)).count();
+    fn answers_to_a_flood_leave_bytes_for_own_probes() {
+        let mut bucket = TokenBucket::new(Duration::ZERO);
+        let answered = (0..1000).filter(|_| bucket.try_take(60, true, Duration::ZERO)).count();
         assert!(answered < 40, "{answered}");
-        assert!(bucket.takes(60, false, Duration::ZERO));
+        assert!(bucket.try_take(60, false, Duration::ZERO));
     }
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,98 +1,108 @@
-//! What members say to each other, as postcard writes it: small enough for one datagram, and bounded before it is read.
+//! The messages between members, encoded by postcard: small enough for one datagram, and bounded before they are decoded.
 
 use crate::errors::MembershipError;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes of a datagram at most: under what every way carries in one piece.
-pub const DATAGRAM_MOST: usize = 1200;
-/// Bytes of a full exchange at most: 4,096 members with the longest names.
-pub const EXCHANGE_MOST: usize = 512 * 1024;
-/// Bytes of a name.
-pub const NAME_MOST: usize = 64;
-/// Lines on members in a datagram: what is new travels on what is said anyway.
-pub const LINES_MOST: usize = 6;
+/// The maximum size of a datagram: below what every network path carries unfragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+/// The maximum size of a full exchange: 4,096 members with the longest names.
+pub const MAX_EXCHANGE_BYTES: usize = 512 * 1024;
+/// The maximum length of a member's name.
+pub const MAX_NAME_BYTES: usize = 64;
+/// Member records in a datagram: gossip is piggybacked on messages that are sent anyway.
+pub const MAX_GOSSIPED_RECORDS: usize = 6;
 
-/// Which life of a member, and how often in it the member has had to say that it is there; the later goes before.
+/// The version of a member's record; the later one supersedes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
-    /// Unix milliseconds of its start, or one more than a former life's.
+pub struct MemberVersion {
+    /// Unix milliseconds of the process start, or one more than an earlier process's.
     pub generation: u64,
+    /// Raised each time that the member has to refute that it is suspect or dead.
     pub incarnation: u32,
 }
 
-/// What is held of a member. Of one life, the later in this order is the stricter.
+/// The state of a member. For one version, the later state in this order is the stricter one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum State {
-    Here,
-    Doubted,
-    Gone,
-    /// By its own word.
+pub enum MemberState {
+    Alive,
+    Suspect,
+    Dead,
+    /// The member announced that it leaves.
     Left,
 }
 
+/// What is known of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct MemberRecord {
     pub name: String,
-    pub at: SocketAddr,
-    pub life: Life,
-    pub state: State,
+    pub address: SocketAddr,
+    pub version: MemberVersion,
+    pub state: MemberState,
 }
 
+/// What a datagram asks or answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
+    /// A direct probe.
     Ping {
-        number: u32,
+        seq: u32,
     },
     Ack {
-        number: u32,
+        seq: u32,
     },
-    /// Ping that address for me.
-    Ask {
-        number: u32,
-        whom: SocketAddr,
+    /// An indirect probe: asks the receiver to ping the target.
+    PingRequest {
+        seq: u32,
+        target: SocketAddr,
     },
-    /// The one that you asked me to ping has answered.
-    Through {
-        number: u32,
+    /// The target of an indirect probe has answered.
+    IndirectAck {
+        seq: u32,
     },
-    /// Only lines.
-    Tell,
+    /// Only member records.
+    Gossip,
 }
 
-/// A message: whose, and what it says.
+/// A message with its sender and piggybacked member records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     pub fleet: u64,
-    pub from: Line,
+    pub from: MemberRecord,
     pub body: Body,
-    pub lines: Vec<Line>,
+    pub records: Vec<MemberRecord>,
 }
 
-/// All that a member knows, over a connection.
+/// All that a member knows, sent over a connection as an anti-entropy exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
     pub fleet: u64,
-    /// None: one who only looks on, and is no member.
-    pub from: Option<Line>,
-    /// How the sender's own view stands: its epoch, and whether it reaches most.
+    /// None for an observer, which is not a member.
+    pub from: Option<MemberRecord>,
+    /// The epoch of the sender's view.
     pub epoch: u64,
-    pub most: bool,
-    pub lines: Vec<Line>,
+    /// Whether the sender reaches most of the fleet.
+    pub reaches_most: bool,
+    pub records: Vec<MemberRecord>,
 }
 
-/// A fleet's number for its name: FNV-1a.
-pub fn fleet_number(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+/// The id of a fleet by its name: FNV-1a.
+pub fn fleet_id(name: &str) -> u64 {
+    name.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-pub fn write(what: &impl Serialize) -> Vec<u8> {
-    postcard::to_stdvec(what).expect("what members say has a length and no maps")
+pub fn encode(message: &impl Serialize) -> Vec<u8> {
+    postcard::to_stdvec(message).expect("messages have sequences of known length and no maps")
 }
 
-pub fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8], most: usize) -> Result<T, MembershipError> {
-    if bytes.len() > most {
-        return Err(MembershipError::TooLong { length: bytes.len(), most });
+/// Decodes a message.
+///
+/// # Errors
+/// The message is longer than `max` bytes, or cannot be decoded.
+pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8], max: usize) -> Result<T, MembershipError> {
+    if bytes.len() > max {
+        return Err(MembershipError::TooLong { length: bytes.len(), max });
     }
-    postcard::from_bytes(bytes).map_err(|why| MembershipError::Unreadable { why })
+    postcard::from_bytes(bytes).map_err(|error| MembershipError::Undecodable { error })
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,62 +1,64 @@
-//! Who is there, as one member holds it, and what that view is worth.
+//! The members as one of them sees them, and how much of the fleet that view covers.
 
 /// How much of the last known fleet a view reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// More than half of it: at most one side of a split has this.
+    /// More than half of it: at most one side of a partition has this.
     Most,
     NotMost,
 }
 
-/// One member's view. Two views of one epoch at different members need not be the same.
+/// One member's view. Views of the same epoch at different members need not be equal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// Grows at every change, at this member.
     pub epoch: u64,
-    /// This member among them.
-    pub here: usize,
-    pub doubted: usize,
-    pub gone: usize,
-    /// The last known fleet: all of these, less those who left by themselves or were forgotten.
+    /// Members that are alive, this one included.
+    pub alive: usize,
+    pub suspect: usize,
+    pub dead: usize,
+    /// The last known fleet: the sum of these, without members that left or were forgotten.
     pub known: usize,
     pub reach: Reach,
 }
 
 impl View {
-    /// For how many a source is to be shared out, strict when in doubt: gone members count until they are forgotten,
-    /// so that the halves of a split together ask for no more than the whole did; before this view has ever reached
-    /// most, the count that operators told goes in where it is larger.
+    /// By how many members the capacity of a source is to be divided; in doubt the larger number. Dead members count until
+    /// they are forgotten, so that the halves of a partition together request no more than the whole fleet did. Until this
+    /// view has reached most of the fleet, the configured number of members counts where it is larger.
     ///
     /// ```
     /// use myrtlegauge_membership::{Reach, View};
-    /// let half = View { epoch: 9, here: 8, doubted: 0, gone: 8, known: 16, reach: Reach::NotMost };
-    /// assert_eq!(half.sharers(16, true), 16);
-    /// let alone = View { epoch: 1, here: 1, doubted: 0, gone: 0, known: 1, reach: Reach::NotMost };
-    /// assert_eq!(alone.sharers(300, false), 300);
+    /// let half = View { epoch: 9, alive: 8, suspect: 0, dead: 8, known: 16, reach: Reach::NotMost };
+    /// assert_eq!(half.source_sharers(16, true), 16);
+    /// let alone = View { epoch: 1, alive: 1, suspect: 0, dead: 0, known: 1, reach: Reach::NotMost };
+    /// assert_eq!(alone.source_sharers(300, false), 300);
     /// ```
-    pub fn sharers(&self, told: usize, was_most: bool) -> usize {
-        if was_most { self.known } else { self.known.max(told) }.max(1)
+    pub fn source_sharers(&self, expected_members: usize, has_reached_most: bool) -> usize {
+        if has_reached_most { self.known } else { self.known.max(expected_members) }.max(1)
     }
 }
 
-/// What changed of a member, or of this one.
+/// A change of a member's state, or of this member's own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Met for the first time.
+    /// Answered for the first time.
     New(String),
+    /// Became suspect.
     Doubted(String),
-    /// Doubted, and there after all.
+    /// Was suspect and is alive.
     Cleared(String),
+    /// Was declared dead.
     Gone(String),
-    /// Held for gone, and there in the same life.
+    /// Was dead and is alive in the same generation.
     Back(String),
-    /// There in a later life.
+    /// Is alive in a later generation.
     Restarted(String),
     Left(String),
     Forgotten(String),
-    /// This process did not run for so long (ms); it accuses nobody until it has heard.
+    /// This process did not run for this number of milliseconds. It accuses nobody until it has received an answer.
     Woke(u64),
-    /// Another has this one's name, and started later: this one is out.
+    /// Another member has the name of this one and started later: this one no longer takes part.
     NameTaken,
     Reach(Reach),
 }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,8 +1,9 @@
-//! A fleet of cores in virtual time: members that die, freeze, restart and lie; ways that lose, double, delay and are cut in
-//! one direction. Whatever comes, no live member that most can talk with is removed, and no dead one stays.
+//! A fleet of membership cores in virtual time. Members die, freeze, restart and report falsely; network paths lose,
+//! duplicate and delay datagrams, and are cut in one direction. In every case no live member that most others can reach is
+//! removed, and no dead one stays.
 
-use myrtlegauge_membership::message::{Body, Datagram, Line, fleet_number, write};
-use myrtlegauge_membership::{Act, Change, Look, Membership, Myself, Reach, State};
+use myrtlegauge_membership::message::{Body, Datagram, MemberRecord, encode, fleet_id};
+use myrtlegauge_membership::{Action, Change, ExchangeFailure, LocalMember, MemberState, Membership, Reach};
 use proptest::prelude::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -11,7 +12,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn s(seconds: u64) -> Duration {
+fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
@@ -19,28 +20,33 @@
     ([127, 0, (index >> 8) as u8, index as u8 + 1], 9100).into()
 }
 
+/// An event at a member, which is the first field.
 enum Event {
-    Turn(usize),
+    Timer(usize),
     Datagram(usize, Vec<u8>),
-    Asks(usize, usize, Vec<u8>),
-    Looked(usize, usize, Result<Vec<u8>, Look>),
+    /// An exchange that the second member began.
+    Exchange(usize, usize, Vec<u8>),
+    /// The result of an exchange with the second member.
+    ExchangeResult(usize, usize, Result<Vec<u8>, ExchangeFailure>),
 }
 
 struct Fleet {
     cores: Vec<Option<Membership>>,
+    /// Until when members are frozen.
     frozen: BTreeMap<usize, Duration>,
+    /// The directions that are cut, as sender and receiver.
     cut: BTreeSet<(usize, usize)>,
-    lost: f64,
-    doubled: f64,
-    late: Duration,
+    loss: f64,
+    duplication: f64,
+    max_delay: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, Event>,
-    serial: u64,
+    last_serial: u64,
     now: Duration,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     generation: u64,
-    /// Who held whom for gone, and when.
-    gone: Vec<(Duration, usize, String)>,
+    /// When which member declared which other one dead.
+    deaths: Vec<(Duration, usize, String)>,
     changes: Vec<(Duration, usize, Change)>,
 }
 
@@ -50,16 +56,16 @@
             cores: (0..members).map(|_| None).collect(),
             frozen: BTreeMap::new(),
             cut: BTreeSet::new(),
-            lost: 0.0,
-            doubled: 0.0,
-            late: MS * 3,
+            loss: 0.0,
+            duplication: 0.0,
+            max_delay: MS * 3,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            serial: 0,
+            last_serial: 0,
             now: Duration::ZERO,
-            chance: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
             generation: 1,
-            gone: Vec::new(),
+            deaths: Vec::new(),
             changes: Vec::new(),
         };
         (0..members).for_each(|index| fleet.start(index));
@@ -68,399 +74,442 @@
 
     fn start(&mut self, index: usize) {
         self.generation += 1;
-        let myself = Myself {
+        let local = LocalMember {
             name: format!("m{index}"),
-            at: address(index),
+            address: address(index),
             fleet: "test".into(),
             generation: self.generation,
         };
-        let (peers, told) = (vec![address(0), address(1), address(2)], self.cores.len());
-        let core = Membership::new(myself, peers, told, self.chance.u64(..), self.now).expect("a name");
+        let (seed_peers, expected_members) = (vec![address(0), address(1), address(2)], self.cores.len());
+        let core = Membership::new(local, seed_peers, expected_members, self.rng.u64(..), self.now)
+            .expect("the name has a valid length");
         self.cores[index] = Some(core);
-        self.push(self.now, Event::Turn(index));
+        self.push(self.now, Event::Timer(index));
     }
 
     fn push(&mut self, at: Duration, event: Event) {
-        self.serial += 1;
-        self.events.insert(self.serial, event);
-        self.queue.push(Reverse((at, self.serial)));
+        self.last_serial += 1;
+        self.events.insert(self.last_serial, event);
+        self.queue.push(Reverse((at, self.last_serial)));
     }
 
-    fn cuts(&mut self, from: usize, to: usize) {
+    fn cut_direction(&mut self, from: usize, to: usize) {
         self.cut.insert((from, to));
     }
 
-    fn way(&mut self) -> Duration {
-        MS + self.late.mul_f64(self.chance.f64())
+    fn random_delay(&mut self) -> Duration {
+        MS + self.max_delay.mul_f64(self.rng.f64())
     }
 
-    fn run(&mut self, until: Duration) {
+    fn run_until(&mut self, until: Duration) {
         while let Some(&Reverse((at, serial))) = self.queue.peek().filter(|Reverse((at, _))| *at <= until) {
             self.queue.pop();
             self.now = at.max(self.now);
-            let event = self.events.remove(&serial).expect("each is pushed once");
-            let of = match &event {
-                Event::Turn(of) | Event::Datagram(of, _) | Event::Asks(of, ..) | Event::Looked(of, ..) => *of,
+            let event = self.events.remove(&serial).expect("each serial is pushed once");
+            let member = match &event {
+                Event::Timer(member)
+                | Event::Datagram(member, _)
+                | Event::Exchange(member, ..)
+                | Event::ExchangeResult(member, ..) => *member,
             };
-            if let Some(&until) = self.frozen.get(&of).filter(|until| **until > self.now) {
-                // The system holds what comes; the process finds it when it is woken.
-                self.push(until, event);
+            if let Some(&frozen_until) = self.frozen.get(&member).filter(|until| **until > self.now) {
+                // The system queues what arrives; the process handles it when it runs again.
+                self.push(frozen_until, event);
                 continue;
             }
-            self.happen(event);
+            self.handle(event);
         }
         self.now = until;
     }
 
-    fn happen(&mut self, event: Event) {
-        let (now, mut out) = (self.now, Vec::new());
+    fn handle(&mut self, event: Event) {
+        let (now, mut actions) = (self.now, Vec::new());
         match event {
-            Event::Turn(of) => {
-                let Some(core) = &mut self.cores[of] else { return };
-                core.turn(now, &mut out);
-                let due = core.due().max(now + MS);
-                self.push(due, Event::Turn(of));
-                self.act(of, out);
+            Event::Timer(member) => {
+                let Some(core) = &mut self.cores[member] else { return };
+                core.on_timer(now, &mut actions);
+                let due = core.next_timeout().max(now + MS);
+                self.push(due, Event::Timer(member));
+                self.perform(member, actions);
             }
-            Event::Datagram(of, bytes) => {
-                let Some(core) = &mut self.cores[of] else { return };
-                core.heard(&bytes, now, &mut out).expect("members understand each other");
-                self.act(of, out);
+            Event::Datagram(member, bytes) => {
+                let Some(core) = &mut self.cores[member] else { return };
+                core.on_datagram(&bytes, now, &mut actions).expect("datagrams of members are accepted");
+                self.perform(member, actions);
             }
-            Event::Asks(of, by, bytes) => {
-                let Some(core) = &mut self.cores[of] else { return };
-                let all = core.asked(&bytes, now).expect("members understand each other");
-                let at = now + self.way();
-                self.push(at, Event::Looked(by, of, Ok(all)));
+            Event::Exchange(member, initiator, bytes) => {
+                let Some(core) = &mut self.cores[member] else { return };
+                let answer = core.on_exchange(&bytes, now).expect("exchanges of members are accepted");
+                let at = now + self.random_delay();
+                self.push(at, Event::ExchangeResult(initiator, member, Ok(answer)));
             }
-            Event::Looked(of, at, saw) => {
-                let Some(core) = &mut self.cores[of] else { return };
-                let saw = saw.as_deref().map_err(|saw| *saw);
-                core.looked(address(at), saw, now).expect("members understand each other");
+            Event::ExchangeResult(member, peer, result) => {
+                let Some(core) = &mut self.cores[member] else { return };
+                let result = result.as_deref().map_err(|failure| *failure);
+                let accepted = core.on_exchange_result(address(peer), result, now);
+                accepted.expect("answers of members are accepted");
             }
         }
     }
 
-    fn act(&mut self, of: usize, out: Vec<Act>) {
+    fn perform(&mut self, member: usize, actions: Vec<Action>) {
         let now = self.now;
         let count = self.cores.len();
         let index = |at: SocketAddr| (0..count).find(|&index| address(index) == at);
-        for act in out {
-            match act {
-                Act::Send { to, bytes } => {
-                    let Some(to) = index(to).filter(|&to| !self.cut.contains(&(of, to))) else { continue };
-                    let copies = usize::from(self.chance.f64() >= self.lost)
-                        + usize::from(self.chance.f64() < self.doubled);
+        for action in actions {
+            match action {
+                Action::Send { to, bytes } => {
+                    let Some(to) = index(to).filter(|&to| !self.cut.contains(&(member, to))) else {
+                        continue;
+                    };
+                    let copies = usize::from(self.rng.f64() >= self.loss)
+                        + usize::from(self.rng.f64() < self.duplication);
                     for _ in 0..copies {
-                        let at = now + self.way();
+                        let at = now + self.random_delay();
                         self.push(at, Event::Datagram(to, bytes.clone()));
                     }
                 }
-                Act::Look { at } => {
-                    let Some(to) = index(at) else { continue };
-                    let parted = self.cut.contains(&(of, to)) || self.cut.contains(&(to, of));
-                    let frozen = self.frozen.get(&to).is_some_and(|until| *until > now);
-                    if parted || frozen {
-                        let saw = if parted { Look::Silent } else { Look::Mute };
-                        self.push(now + MS * 600, Event::Looked(of, to, Err(saw)));
-                    } else if let Some(core) = &self.cores[of].as_ref().filter(|_| self.cores[to].is_some()) {
-                        let bytes = core.exchange();
-                        let at = now + self.way();
-                        self.push(at, Event::Asks(to, of, bytes));
+                Action::Exchange { address } => {
+                    let Some(to) = index(address) else { continue };
+                    let is_cut = self.cut.contains(&(member, to)) || self.cut.contains(&(to, member));
+                    let is_frozen = self.frozen.get(&to).is_some_and(|until| *until > now);
+                    if is_cut || is_frozen {
+                        let failure =
+                            if is_cut { ExchangeFailure::Unreachable } else { ExchangeFailure::Unanswered };
+                        self.push(now + MS * 600, Event::ExchangeResult(member, to, Err(failure)));
+                    } else if let Some(core) =
+                        &self.cores[member].as_ref().filter(|_| self.cores[to].is_some())
+                    {
+                        let bytes = core.exchange_message();
+                        let at = now + self.random_delay();
+                        self.push(at, Event::Exchange(to, member, bytes));
                     } else {
-                        let at = now + self.way();
-                        self.push(at, Event::Looked(of, to, Err(Look::Refused)));
+                        let at = now + self.random_delay();
+                        let refused = Err(ExchangeFailure::Refused);
+                        self.push(at, Event::ExchangeResult(member, to, refused));
                     }
                 }
-                Act::Changed(change) => {
+                Action::Changed(change) => {
                     if let Change::Gone(name) = &change {
-                        self.gone.push((now, of, name.clone()));
+                        self.deaths.push((now, member, name.clone()));
                     }
-                    self.changes.push((now, of, change));
+                    self.changes.push((now, member, change));
                 }
             }
         }
     }
 
-    fn whole(&self) -> bool {
+    /// Whether every live member sees all live members alive, and reaches most.
+    fn is_converged(&self) -> bool {
         let live = self.cores.iter().flatten().count();
-        self.cores.iter().flatten().all(|core| core.view().here == live && core.view().reach == Reach::Most)
+        self.cores.iter().flatten().all(|core| core.view().alive == live && core.view().reach == Reach::Most)
     }
 
-    fn held(&self, by: usize, of: usize) -> Option<State> {
-        self.cores[by].as_ref()?.state(&format!("m{of}"))
+    /// A member's state as another one sees it.
+    fn state_at(&self, observer: usize, member: usize) -> Option<MemberState> {
+        self.cores[observer].as_ref()?.state(&format!("m{member}"))
     }
 }
 
 #[test]
-fn a_fleet_finds_itself_and_a_death_is_known_by_all_within_two_seconds() {
+fn a_fleet_converges_and_a_death_is_known_to_all_within_two_seconds() {
     for seed in 1..20 {
         let mut fleet = Fleet::new(16, seed);
-        fleet.run(s(6));
-        assert!(fleet.whole(), "seed {seed}");
+        fleet.run_until(seconds(6));
+        assert!(fleet.is_converged(), "seed {seed}");
         fleet.cores[5] = None;
-        fleet.run(s(8));
-        let late: Vec<_> = (0..16).filter(|&by| by != 5 && fleet.held(by, 5) != Some(State::Gone)).collect();
-        assert!(late.is_empty(), "seed {seed}: {late:?} do not know");
-        assert!(fleet.gone.iter().all(|(_, _, name)| name == "m5"));
+        fleet.run_until(seconds(8));
+        let unaware: Vec<_> = (0..16)
+            .filter(|&observer| observer != 5 && fleet.state_at(observer, 5) != Some(MemberState::Dead))
+            .collect();
+        assert!(unaware.is_empty(), "seed {seed}: {unaware:?} do not know of the death");
+        assert!(fleet.deaths.iter().all(|(_, _, name)| name == "m5"));
     }
 }
 
+/// A frozen member is not removed. It detects its own pause, raises its incarnation and accuses nobody.
 #[test]
-fn a_frozen_member_is_kept_knows_it_and_accuses_nobody() {
-    for (seed, long) in [(1, 1), (2, 3), (3, 10), (4, 3)] {
+fn a_frozen_member_is_kept_detects_its_pause_and_accuses_nobody() {
+    for (seed, pause_s) in [(1, 1), (2, 3), (3, 10), (4, 3)] {
         let mut fleet = Fleet::new(16, seed);
-        fleet.run(s(6));
-        fleet.frozen.insert(3, s(6 + long));
-        fleet.run(s(20 + long));
-        assert!(fleet.gone.is_empty(), "{long} s: {:?}", fleet.gone);
-        assert!(fleet.whole(), "{long} s");
-        let woke =
-            |(_, of, change): &(Duration, usize, Change)| *of == 3 && matches!(change, Change::Woke(_));
-        assert!(fleet.changes.iter().any(woke));
-        assert!(fleet.cores[3].as_ref().is_some_and(|core| core.life().incarnation > 0));
+        fleet.run_until(seconds(6));
+        fleet.frozen.insert(3, seconds(6 + pause_s));
+        fleet.run_until(seconds(20 + pause_s));
+        assert!(fleet.deaths.is_empty(), "{pause_s} s: {:?}", fleet.deaths);
+        assert!(fleet.is_converged(), "{pause_s} s");
+        let has_resumed = |(_, member, change): &(Duration, usize, Change)| {
+            *member == 3 && matches!(change, Change::Woke(_))
+        };
+        assert!(fleet.changes.iter().any(has_resumed));
+        assert!(fleet.cores[3].as_ref().is_some_and(|core| core.version().incarnation > 0));
     }
 }
 
+/// With all other members frozen, the running one regards itself as isolated and declares nobody dead.
 #[test]
-fn all_but_one_frozen_are_kept_and_the_one_doubts_itself() {
+fn a_member_that_runs_alone_among_frozen_ones_removes_nobody() {
     let mut fleet = Fleet::new(9, 1);
-    fleet.run(s(6));
-    fleet.frozen.extend((1..9).map(|index| (index, s(9))));
-    fleet.run(s(8) + MS * 900);
+    fleet.run_until(seconds(6));
+    fleet.frozen.extend((1..9).map(|index| (index, seconds(9))));
+    fleet.run_until(seconds(8) + MS * 900);
     assert_eq!(fleet.cores[0].as_ref().map(|core| core.view().reach), Some(Reach::NotMost));
-    fleet.run(s(20));
-    assert!(fleet.gone.is_empty() && fleet.whole(), "{:?}", fleet.gone);
+    fleet.run_until(seconds(20));
+    assert!(fleet.deaths.is_empty() && fleet.is_converged(), "{:?}", fleet.deaths);
 }
 
-/// A single cut of one direction removes nobody; nor do a ring of them, or a cut both ways between two.
+/// A cut of one direction removes nobody, nor does a ring of such cuts, or a cut in both directions between two members.
 #[test]
-fn one_sided_cuts_that_others_can_reach_around_remove_nobody() {
+fn cuts_that_indirect_probes_can_bypass_remove_nobody() {
     type Cut = fn(usize) -> Vec<(usize, usize)>;
-    let pairs: [Cut; 3] = [
+    let cuts: [Cut; 3] = [
         |_| vec![(4, 7)],
         |_| vec![(4, 7), (7, 4)],
         |members| (0..members).map(|index| (index, (index + 1) % members)).collect(),
     ];
-    for (seed, cut) in (1..).zip(pairs) {
+    for (seed, cut) in (1..).zip(cuts) {
         let mut fleet = Fleet::new(12, seed);
-        fleet.run(s(6));
-        cut(12).into_iter().for_each(|(from, to)| fleet.cuts(from, to));
-        fleet.run(s(126));
-        assert!(fleet.gone.is_empty(), "{seed}: {:?}", fleet.gone);
+        fleet.run_until(seconds(6));
+        cut(12).into_iter().for_each(|(from, to)| fleet.cut_direction(from, to));
+        fleet.run_until(seconds(126));
+        assert!(fleet.deaths.is_empty(), "{seed}: {:?}", fleet.deaths);
     }
 }
 
-/// One who hears nobody knows that it is out, and removes nobody though all hear it; it is back once it is mended.
+/// A member that receives nothing, or that nobody receives, notices that and removes nobody. After the fault it is alive
+/// again everywhere.
 #[test]
-fn one_who_hears_nobody_or_is_heard_by_nobody_knows_that_it_is_out() {
-    for hears in [false, true] {
+fn a_member_cut_off_in_one_direction_notices_it_and_removes_nobody() {
+    for can_receive in [false, true] {
         let mut fleet = Fleet::new(12, 5);
-        fleet.run(s(6));
+        fleet.run_until(seconds(6));
         for other in (0..12).filter(|&other| other != 5) {
-            let (from, to) = if hears { (5, other) } else { (other, 5) };
-            fleet.cuts(from, to);
+            let (from, to) = if can_receive { (5, other) } else { (other, 5) };
+            fleet.cut_direction(from, to);
         }
-        fleet.run(s(30));
-        assert!(fleet.gone.iter().all(|(_, by, name)| *by != 5 && name == "m5"), "{:?}", fleet.gone);
+        fleet.run_until(seconds(30));
+        let is_allowed = |(_, observer, name): &(Duration, usize, String)| *observer != 5 && name == "m5";
+        assert!(fleet.deaths.iter().all(is_allowed), "{:?}", fleet.deaths);
         assert_eq!(fleet.cores[5].as_ref().map(|core| core.view().reach), Some(Reach::NotMost));
-        assert_eq!(fleet.held(0, 5), Some(State::Gone));
+        assert_eq!(fleet.state_at(0, 5), Some(MemberState::Dead));
         fleet.cut.clear();
-        fleet.run(s(40));
-        assert!(fleet.whole(), "hears {hears}");
+        fleet.run_until(seconds(40));
+        assert!(fleet.is_converged(), "can receive: {can_receive}");
     }
 }
 
-/// Of two halves at most one has most, both count all for what is shared, and mended they are one again.
+/// At most one half of a partition reaches most. Both halves divide sources by the whole fleet, and they join again once the
+/// partition is healed.
 #[test]
-fn halves_of_a_split_do_not_take_themselves_for_all() {
-    for (first, seed) in [(8, 1), (9, 2), (4, 3)] {
+fn the_halves_of_a_partition_do_not_count_as_the_whole_fleet() {
+    for (first_half, seed) in [(8, 1), (9, 2), (4, 3)] {
         let mut fleet = Fleet::new(16, seed);
-        fleet.run(s(6));
-        for one in 0..first {
-            for other in first..16 {
-                fleet.cuts(one, other);
-                fleet.cuts(other, one);
+        fleet.run_until(seconds(6));
+        for one in 0..first_half {
+            for other in first_half..16 {
+                fleet.cut_direction(one, other);
+                fleet.cut_direction(other, one);
             }
         }
-        fleet.run(s(40));
+        fleet.run_until(seconds(40));
         let reach = |index: usize| fleet.cores[index].as_ref().map(|core| core.view().reach);
-        let most = (0..16).filter(|&index| reach(index) == Some(Reach::Most)).count();
-        assert_eq!(most, [first, 16 - first].into_iter().find(|half| half * 2 > 16).unwrap_or(0));
-        assert!(fleet.cores.iter().flatten().all(|core| core.sharers() == 16));
+        let reaching_most = (0..16).filter(|&index| reach(index) == Some(Reach::Most)).count();
+        let larger_half = [first_half, 16 - first_half].into_iter().find(|half| half * 2 > 16);
+        assert_eq!(reaching_most, larger_half.unwrap_or(0));
+        assert!(fleet.cores.iter().flatten().all(|core| core.source_sharers() == 16));
         fleet.cut.clear();
-        fleet.run(s(60));
+        fleet.run_until(seconds(60));
         let views: Vec<_> = fleet.cores.iter().flatten().map(Membership::view).collect();
-        assert!(fleet.whole(), "{first} {views:#?}");
+        assert!(fleet.is_converged(), "{first_half} {views:#?}");
     }
 }
 
 #[test]
-fn three_in_ten_lost_doubled_and_out_of_order_remove_nobody() {
+fn three_in_ten_datagrams_lost_some_duplicated_and_all_reordered_remove_nobody() {
     let mut fleet = Fleet::new(24, 3);
-    fleet.run(s(6));
-    (fleet.lost, fleet.doubled, fleet.late) = (0.3, 0.1, MS * 60);
-    fleet.run(s(126));
-    assert!(fleet.gone.is_empty(), "{:?}", fleet.gone);
+    fleet.run_until(seconds(6));
+    (fleet.loss, fleet.duplication, fleet.max_delay) = (0.3, 0.1, MS * 60);
+    fleet.run_until(seconds(126));
+    assert!(fleet.deaths.is_empty(), "{:?}", fleet.deaths);
     assert!(fleet.cores.iter().flatten().all(|core| core.view().known == 24));
 }
 
 #[test]
-fn a_member_says_less_than_three_kilobytes_a_second_whatever_the_size() {
+fn a_member_sends_less_than_three_kilobytes_a_second_at_any_fleet_size() {
     for members in [4, 16, 100] {
         let mut fleet = Fleet::new(members, 2);
-        fleet.run(s(10));
-        let before: u64 = fleet.cores.iter().flatten().map(|core| core.said).sum();
-        fleet.run(s(20));
-        let after: u64 = fleet.cores.iter().flatten().map(|core| core.said).sum();
-        let each = (after - before) as f64 / 10.0 / members as f64;
-        assert!(each < 3000.0 && each > 100.0, "{members}: {each} bytes a second");
+        fleet.run_until(seconds(10));
+        let before: u64 = fleet.cores.iter().flatten().map(|core| core.bytes_sent).sum();
+        fleet.run_until(seconds(20));
+        let after: u64 = fleet.cores.iter().flatten().map(|core| core.bytes_sent).sum();
+        let bytes_per_second = (after - before) as f64 / 10.0 / members as f64;
+        assert!(
+            bytes_per_second < 3000.0 && bytes_per_second > 100.0,
+            "{members}: {bytes_per_second} bytes a second"
+        );
     }
 }
 
 #[test]
-fn one_that_restarts_is_itself_and_two_of_one_name_do_not_both_stay() {
+fn a_restarted_member_is_recognized_and_of_two_with_one_name_the_earlier_gives_way() {
     let mut fleet = Fleet::new(8, 4);
-    fleet.run(s(6));
+    fleet.run_until(seconds(6));
     fleet.cores[2] = None;
-    fleet.run(s(7));
+    fleet.run_until(seconds(7));
     fleet.start(2);
-    fleet.run(s(12));
-    assert!(fleet.whole());
+    fleet.run_until(seconds(12));
+    assert!(fleet.is_converged());
     assert!(fleet.cores.iter().flatten().all(|core| core.view().known == 8));
-    // Member 6 takes the name of 7, later.
+    // A new process at the address of member 6 takes the name of member 7, and starts later than that one.
     fleet.generation += 1;
-    let myself =
-        Myself { name: "m7".into(), at: address(6), fleet: "test".into(), generation: fleet.generation };
-    let taken = Membership::new(myself, vec![address(0)], 8, 9, fleet.now).expect("a name");
-    fleet.cores[6] = Some(taken);
-    fleet.run(s(30));
-    assert!(fleet.changes.iter().any(|(_, of, change)| *of == 7 && *change == Change::NameTaken));
-    assert!(!fleet.changes.iter().any(|(_, of, change)| *of == 6 && *change == Change::NameTaken));
+    let local = LocalMember {
+        name: "m7".into(),
+        address: address(6),
+        fleet: "test".into(),
+        generation: fleet.generation,
+    };
+    let namesake = Membership::new(local, vec![address(0)], 8, 9, fleet.now);
+    fleet.cores[6] = Some(namesake.expect("the name has a valid length"));
+    fleet.run_until(seconds(30));
+    let lost_name = |index: usize| {
+        fleet.changes.iter().any(|(_, member, change)| *member == index && *change == Change::NameTaken)
+    };
+    assert!(lost_name(7));
+    assert!(!lost_name(6));
 }
 
-/// One that starts after a death hears of it from all others for as long as they remember: its machine is asked once.
+/// A member that starts after a death receives gossip on the dead member for as long as the others remember it. A refused
+/// connection proves the death, so the dead member becomes suspect only once.
 #[test]
-fn one_that_starts_after_a_death_doubts_the_dead_member_once() {
+fn a_member_that_starts_after_a_death_suspects_the_dead_one_once() {
     for seed in 1..10 {
         let mut fleet = Fleet::new(7, seed);
-        fleet.run(s(6));
+        fleet.run_until(seconds(6));
         fleet.cores[5] = None;
-        fleet.run(s(8));
+        fleet.run_until(seconds(8));
         fleet.cores[0] = None;
-        fleet.run(s(9));
+        fleet.run_until(seconds(9));
         fleet.start(0);
-        let (mut doubts, mut before) = (0, None);
-        while fleet.now < s(129) {
-            fleet.run(fleet.now + MS * 5);
-            let held = fleet.held(0, 5);
-            doubts += usize::from(held == Some(State::Doubted) && before != held);
-            before = held;
+        let (mut suspicions, mut previous) = (0, None);
+        while fleet.now < seconds(129) {
+            fleet.run_until(fleet.now + MS * 5);
+            let state = fleet.state_at(0, 5);
+            suspicions += usize::from(state == Some(MemberState::Suspect) && previous != state);
+            previous = state;
         }
-        assert!(doubts <= 1, "seed {seed}: doubted {doubts} times");
-        assert!(matches!(fleet.held(0, 5), None | Some(State::Gone)), "seed {seed}");
+        assert!(suspicions <= 1, "seed {seed}: suspected {suspicions} times");
+        assert!(matches!(fleet.state_at(0, 5), None | Some(MemberState::Dead)), "seed {seed}");
         assert!(
-            fleet.held(1, 5) == Some(State::Gone) && fleet.held(1, 0) == Some(State::Here),
+            fleet.state_at(1, 5) == Some(MemberState::Dead)
+                && fleet.state_at(1, 0) == Some(MemberState::Alive),
             "seed {seed}"
         );
-        // A new life of the dead member is met as any other.
+        // A restarted process of the dead member joins as any other does.
         fleet.start(5);
-        fleet.run(s(140));
-        assert!(fleet.whole(), "seed {seed}");
+        fleet.run_until(seconds(140));
+        assert!(fleet.is_converged(), "seed {seed}");
     }
 }
 
-/// What a liar says of others is a reason to ask them, and no more.
+/// What a member reports of others is a reason to probe them, and no more.
 #[test]
-fn a_liar_that_declares_all_dead_removes_nobody() {
+fn a_member_that_falsely_reports_all_others_dead_removes_nobody() {
     let mut fleet = Fleet::new(12, 6);
-    fleet.run(s(6));
-    for number in 0..50 {
-        let lines: Vec<_> = (0..11)
-            .filter_map(|of| {
-                let life = fleet.cores[of].as_ref()?.life();
-                Some(Line { name: format!("m{of}"), at: address(of), life, state: State::Gone })
+    fleet.run_until(seconds(6));
+    for seq in 0..50 {
+        let records: Vec<_> = (0..11)
+            .filter_map(|index| {
+                let version = fleet.cores[index].as_ref()?.version();
+                let (name, address) = (format!("m{index}"), address(index));
+                Some(MemberRecord { name, address, version, state: MemberState::Dead })
             })
             .collect();
-        let life = fleet.cores[11].as_ref().expect("it lives").life();
-        let from = Line { name: "m11".into(), at: address(11), life, state: State::Here };
-        for (to, lines) in (0..11).flat_map(|to| lines.chunks(6).map(move |lines| (to, lines.to_vec()))) {
-            let said = Datagram {
-                fleet: fleet_number("test"),
-                from: from.clone(),
-                body: Body::Ping { number },
-                lines,
-            };
+        let version = fleet.cores[11].as_ref().expect("member 11 runs").version();
+        let from =
+            MemberRecord { name: "m11".into(), address: address(11), version, state: MemberState::Alive };
+        let each = (0..11).flat_map(|to| records.chunks(6).map(move |records| (to, records.to_vec())));
+        for (to, records) in each {
+            let datagram =
+                Datagram { fleet: fleet_id("test"), from: from.clone(), body: Body::Ping { seq }, records };
             let at = fleet.now + MS;
-            fleet.push(at, Event::Datagram(to, write(&said)));
+            fleet.push(at, Event::Datagram(to, encode(&datagram)));
         }
-        fleet.run(fleet.now + MS * 100);
+        fleet.run_until(fleet.now + MS * 100);
     }
-    let doubted = |(_, _, change): &(Duration, usize, Change)| matches!(change, Change::Doubted(_));
-    assert!(fleet.changes.iter().any(doubted), "it was not even heard");
-    fleet.run(fleet.now + s(5));
-    assert!(fleet.gone.is_empty(), "{:?}", fleet.gone);
+    let is_suspicion = |(_, _, change): &(Duration, usize, Change)| matches!(change, Change::Doubted(_));
+    assert!(fleet.changes.iter().any(is_suspicion), "the false reports had no effect at all");
+    fleet.run_until(fleet.now + seconds(5));
+    assert!(fleet.deaths.is_empty(), "{:?}", fleet.deaths);
 }
 
 #[derive(Clone, Debug)]
 enum Fault {
+    /// A member is frozen for this number of milliseconds.
     Freeze(usize, u64),
     Kill(usize),
     Start(usize),
     Cut(usize, usize),
+    /// This percentage of datagrams is lost.
     Lose(u32),
-    Mend,
+    Heal,
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        (0..7usize, 200..8000u64).prop_map(|(of, long)| Fault::Freeze(of, long)),
+        (0..7usize, 200..8000u64).prop_map(|(member, pause_ms)| Fault::Freeze(member, pause_ms)),
         (0..7usize).prop_map(Fault::Kill),
         (0..7usize).prop_map(Fault::Start),
         (0..7usize, 0..7usize).prop_map(|(from, to)| Fault::Cut(from, to)),
         (0..40u32).prop_map(Fault::Lose),
-        Just(Fault::Mend),
+        Just(Fault::Heal),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Whatever happens, once it is over every live member is here at every other, every dead one is not, and no life went
-    /// back to an earlier one.
+    /// Once the faults are over every live member is alive at every other, every dead one is not, and no version went back
+    /// to an earlier one.
     #[test]
-    fn after_any_schedule_the_views_are_whole(seed in 0..1000u64, faults in prop::collection::vec((fault(), 50..2500u64), 1..14)) {
+    fn views_converge_after_any_schedule_of_faults(
+        seed in 0..1000u64,
+        faults in prop::collection::vec((fault(), 50..2500u64), 1..14),
+    ) {
         let mut fleet = Fleet::new(7, seed);
-        fleet.run(s(4));
-        let mut lives = BTreeMap::new();
-        for (fault, then) in faults {
+        fleet.run_until(seconds(4));
+        let mut versions = BTreeMap::new();
+        for (fault, wait_ms) in faults {
             match fault {
-                Fault::Freeze(of, long) => fleet.frozen.extend([(of, fleet.now + Duration::from_millis(long))]),
-                Fault::Kill(of) => fleet.cores[of] = None,
-                Fault::Start(of) if fleet.cores[of].is_none() => fleet.start(of),
+                Fault::Freeze(member, pause_ms) => {
+                    fleet.frozen.extend([(member, fleet.now + Duration::from_millis(pause_ms))]);
+                }
+                Fault::Kill(member) => fleet.cores[member] = None,
+                Fault::Start(member) if fleet.cores[member].is_none() => fleet.start(member),
                 Fault::Start(_) => {}
-                Fault::Cut(from, to) => fleet.cuts(from, to),
-                Fault::Lose(part) => fleet.lost = f64::from(part) / 100.0,
-                Fault::Mend => { fleet.cut.clear(); fleet.lost = 0.0; }
+                Fault::Cut(from, to) => fleet.cut_direction(from, to),
+                Fault::Lose(percent) => fleet.loss = f64::from(percent) / 100.0,
+                Fault::Heal => { fleet.cut.clear(); fleet.loss = 0.0; }
             }
-            fleet.run(fleet.now + Duration::from_millis(then));
+            fleet.run_until(fleet.now + Duration::from_millis(wait_ms));
             for (index, core) in fleet.cores.iter().enumerate() {
                 let Some(core) = core else { continue };
-                let before = lives.insert(index, core.life());
-                prop_assert!(before.is_none_or(|before| core.life() >= before));
+                let previous = versions.insert(index, core.version());
+                prop_assert!(previous.is_none_or(|previous| core.version() >= previous));
             }
         }
         fleet.cut.clear();
-        fleet.lost = 0.0;
-        fleet.run(fleet.now + s(60));
+        fleet.loss = 0.0;
+        fleet.run_until(fleet.now + seconds(60));
         let live: Vec<_> = (0..7).filter(|&index| fleet.cores[index].is_some()).collect();
-        for &by in &live {
-            for of in 0..7 {
-                let held = fleet.held(by, of);
-                if live.contains(&of) {
-                    prop_assert_eq!(held, Some(State::Here), "{} holds {} so", by, of);
+        for &observer in &live {
+            for member in 0..7 {
+                let state = fleet.state_at(observer, member);
+                if live.contains(&member) {
+                    prop_assert_eq!(state, Some(MemberState::Alive), "live {} at {}", member, observer);
                 } else {
-                    prop_assert!(matches!(held, None | Some(State::Gone)), "{} holds dead {} for {:?}", by, of, held);
+                    prop_assert!(
+                        matches!(state, None | Some(MemberState::Dead)),
+                        "dead {} at {}: {:?}", member, observer, state
+                    );
                 }
             }
         }
