--- a/crates/membership/src/driver.rs
+++ b/crates/membership/src/driver.rs
@@ -245,7 +245,7 @@
         answer.inspect_err(|error| log::debug!("closing an exchange that is not from a member: {error}")).ok()
     }
 
-    /// Begins an exchange: finds out whether anything listens at the address, and what it knows.
+    /// Begins an exchange: finds out whether a member listens at the address, and receives all that it knows.
     fn begin_exchange(&self, at: SocketAddr) {
         let (event_loop, listen) = (self.0.borrow().event_loop.clone(), self.0.borrow().listen);
         let stream = match open_connection(listen.ip(), at) {
@@ -373,7 +373,7 @@
         Self { outgoing, written: 0, received: Vec::new() }
     }
 
-    /// Whether all is written. None: the peer is gone.
+    /// Whether all bytes are written. None: the peer has closed or reset the connection.
     fn write(&mut self, mut stream: &TcpStream) -> Option<bool> {
         while self.written < self.outgoing.len() {
             match stream.write(&self.outgoing[self.written..]) {
--- a/crates/zones/src/controller.rs
+++ b/crates/zones/src/controller.rs
@@ -503,7 +503,7 @@
         (excess / zone.get_rate.max(1.0)).min(1.0)
     }
 
-    /// While zones are evacuated: updates the fraction to shed for lack of capacity, and announces it anew where it changed.
+    /// While zones are evacuated: updates the fraction to shed for lack of capacity, and announces it where it changed.
     fn update_shedding(&mut self, now: Duration) {
         let is_evacuated = |zone: &Zone| matches!(zone.verdict.stage, Stage::Left | Stage::Returning);
         if !self.zones.iter().any(is_evacuated) || self.zones.iter().any(|zone| zone.capacity <= 0.0) {
--- a/crates/zones/src/shedding.rs
+++ b/crates/zones/src/shedding.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the fraction to shed if it is to be announced anew. `capacity` and `sent_rate` are in GETs a second;
+    /// Returns the fraction to shed if it has to change. `capacity` and `sent_rate` are in GETs a second;
     /// `sent_rate` is the recent mean, and is used only while nothing is shed.
     pub fn adjust(
         &mut self,
