--- a/crates/dispatcher/src/routing/mod.rs
+++ b/crates/dispatcher/src/routing/mod.rs
@@ -157,10 +157,10 @@
     }
 
     /// Logs a membership change and passes on the new number of routers that share the sources.
-    fn on_membership_change(&mut self, membership: driver::Told<'_>) {
-        let (view, sharers) = (membership.view, membership.sharers);
+    fn on_membership_change(&mut self, membership: driver::ViewUpdate<'_>) {
+        let (view, sharers) = (membership.view, membership.source_sharers);
         let (epoch, here, doubted, gone, known) =
-            (view.epoch, view.here, view.doubted, view.gone, view.known);
+            (view.epoch, view.alive, view.suspect, view.dead, view.known);
         let (reach, change) = (view.reach, membership.change);
         log::info!(epoch, here, doubted, gone, known, reach:?, sharers, change:?; "members");
         self.proxy.new_router_count = Some(sharers);
@@ -328,7 +328,7 @@
     pub fn report(&self) {
         self.proxy.report();
         if let Some(member) = &self.member {
-            log::info!("{}", member.line());
+            log::info!("{}", member.summary());
         }
         if let Some(replicas) = &self.proxy.replicas {
             log::info!("{}", replicas.summary());
--- a/crates/dispatcher/src/routing/zones.rs
+++ b/crates/dispatcher/src/routing/zones.rs
@@ -4,7 +4,7 @@
 
 use super::proxy::Proxy;
 use myrtlegauge::interface::{End, HostEntry, HostIndex, HostStatus};
-use myrtlegauge_zones::{Belief, Own, Saw, Verdict};
+use myrtlegauge_zones::{HeldVerdicts, LocalRule, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
 /// The zones as this dispatcher knows them.
 pub struct Zones {
     names: Vec<String>,
-    fleet_verdicts: Belief,
-    local_evidence: Own,
+    held_verdicts: HeldVerdicts,
+    local_rule: LocalRule,
     /// Fraction of its traffic that each zone takes, as last passed to the decision module.
     fractions: Vec<f64>,
     shed_fraction: f64,
@@ -69,8 +69,8 @@
     ) -> Self {
         let count = names.len();
         Self {
-            fleet_verdicts: Belief::new(count, now),
-            local_evidence: Own::new(count),
+            held_verdicts: HeldVerdicts::new(count, now),
+            local_rule: LocalRule::new(count),
             fractions: vec![1.0; count],
             names,
             shed_fraction: 0.0,
@@ -84,7 +84,7 @@
 
     /// The fraction of its traffic that a zone takes now: the lower of the fleet's verdict and the local evidence.
     fn fraction(&self, zone: usize, now: Duration) -> f64 {
-        self.fleet_verdicts.part(zone, now).min(self.local_evidence.part(zone, now))
+        self.held_verdicts.key_fraction(zone, now).min(self.local_rule.max_key_fraction(zone, now))
     }
 
     /// A host's entry as passed to the decision module: hosts of a zone that takes no traffic drain, and those of a
@@ -104,17 +104,17 @@
 
     /// Whether the verdicts may be outdated after a pause of the process.
     pub fn are_verdicts_uncertain(&self, now: Duration) -> bool {
-        self.fleet_verdicts.is_unsure(now)
+        self.held_verdicts.is_uncertain(now)
     }
 
     /// The next time at which the verdicts in effect change without an update, or a report is due.
     pub fn next_deadline(&self, now: Duration) -> Duration {
-        self.fleet_verdicts.due(now).min(self.local_evidence.due(now)).min(self.next_report_at)
+        self.held_verdicts.next_change(now).min(self.local_rule.next_change(now)).min(self.next_report_at)
     }
 
     /// Records that the process has resumed after a pause, so that verdicts may have been missed.
     pub fn on_resumed(&mut self, now: Duration) {
-        self.fleet_verdicts.woke(now);
+        self.held_verdicts.on_resume(now);
     }
 
     /// The evidence on a host in the current interval.
@@ -167,10 +167,10 @@
     fn apply_zone_update(&mut self, update: ZoneUpdate) {
         let (now, Some(zones)) = (self.now, &mut self.zones) else { return };
         match update {
-            ZoneUpdate::Lease(remaining) => zones.fleet_verdicts.leased(now + remaining),
+            ZoneUpdate::Lease(remaining) => zones.held_verdicts.renew_lease(now + remaining),
             ZoneUpdate::Verdict { zone, verdict, effective_in } => {
                 let Some(zone_index) = zones.names.iter().position(|name| *name == zone) else { return };
-                if zones.fleet_verdicts.told(zone_index, &verdict, effective_in, now) {
+                if zones.held_verdicts.apply(zone_index, &verdict, effective_in, now) {
                     let Verdict { epoch, part, sheds, .. } = verdict;
                     log::info!(zone:%, epoch, stage:? = verdict.stage, part, sheds; "zone verdict received");
                 }
@@ -186,7 +186,7 @@
             self.send_zone_report();
         }
         let Some(zones) = &mut self.zones else { return Vec::new() };
-        zones.shed_fraction = zones.fleet_verdicts.sheds(now);
+        zones.shed_fraction = zones.held_verdicts.shed_fraction(now);
         let changed_zones: Vec<usize> = (0..zones.fractions.len())
             .filter(|&zone| zones.fraction(zone, now) != zones.fractions[zone])
             .collect();
@@ -243,7 +243,7 @@
         self.count_silent_forwards();
         let (now, Some(zones)) = (self.now, &mut self.zones) else { return };
         zones.next_report_at = now + zones.report_interval;
-        let mut zone_evidence = vec![Saw::default(); zones.names.len()];
+        let mut zone_evidence = vec![myrtlegauge_zones::HostEvidence::default(); zones.names.len()];
         let mut report = ZoneReport::default();
         for (host, evidence) in std::mem::take(&mut zones.host_evidence).into_iter().enumerate() {
             let Some(host_state) = self.hosts.get(host) else { continue };
@@ -253,7 +253,7 @@
                 continue;
             };
             if answered > 0 {
-                zone.asked += 1;
+                zone.contacted += 1;
                 zone.failed += u32::from(evidence.errored * 2 > answered);
                 zone.late += u32::from(
                     evidence.errored * 2 <= answered && (evidence.late + evidence.errored) * 2 > answered,
@@ -264,12 +264,12 @@
                 report.hosts.push((name, address, evidence));
             }
         }
-        zones.local_evidence.saw(&zone_evidence, now);
+        zones.local_rule.record(&zone_evidence, now);
         report.held_verdicts = zones
             .names
             .iter()
             .enumerate()
-            .map(|(zone, name)| (name.clone(), zones.fleet_verdicts.held(zone)))
+            .map(|(zone, name)| (name.clone(), zones.held_verdicts.verdict(zone)))
             .collect();
         report.gets_taken =
             self.counters.taken - std::mem::replace(&mut zones.reported_gets, self.counters.taken);
