--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,7 +4,7 @@
 
 use arguments::{Arguments, Asked, Command, LogForm, ReplicaOrder, Zone};
 use clap::{CommandFactory, Parser};
-use myrtlegauge_control::shown;
+use myrtlegauge_control::client_status;
 use myrtlegauge_model as model;
 use myrtlegauge_operator as operator;
 use std::fmt::Display;
@@ -27,8 +27,8 @@
             ended(myrtlegauge_control::service::run(file, &told))
         }
         Command::Status { address, patience_ms } => {
-            let status = shown::ask(address, None, Duration::from_millis(patience_ms));
-            ended(status.map(|status| print!("{}", shown::print(&status))))
+            let status = client_status::fetch(address, None, Duration::from_millis(patience_ms));
+            ended(status.map(|status| print!("{}", client_status::format_streams(&status))))
         }
         Command::Dispatch { file, log_form } => {
             let Ok(told) = read(&file) else { return ExitCode::from(UNUSABLE) };
@@ -48,8 +48,8 @@
                 Zone::Return { zone, asked } => (asked, Some((zone.as_str(), "return")), false),
             };
             let Asked { address, patience_ms } = *asked;
-            let status = shown::ask(address, order, Duration::from_millis(patience_ms));
-            ended(status.map(|status| print!("{}", shown::print_zones(&status, votes))))
+            let status = client_status::fetch(address, order, Duration::from_millis(patience_ms));
+            ended(status.map(|status| print!("{}", client_status::format_zones(&status, votes))))
         }
         Command::Experiment { file, seeds, csv, json } => {
             experiment(file.as_deref(), seeds, csv.as_deref(), json)
--- a/crates/control/src/shown.rs
+++ b/crates/control/src/client_status.rs
@@ -1,7 +1,7 @@
 //! What operators are shown of proxies, by the published client-status service: made here, and asked for and printed.
 
-use crate::exchange::{Exchange, Form, Shown, StreamId};
-use crate::messages::zone_named;
+use crate::ads_server::{AdsServer, ProtocolVariant, StreamId, StreamStatus};
+use crate::messages::parse_zone_resource_name;
 use envoy_types::pb::envoy::admin::v3::{ClientResourceStatus, UpdateFailureState};
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::status::v3::client_config::GenericXdsConfig;
@@ -9,7 +9,7 @@
 use envoy_types::pb::envoy::service::status::v3::{
     ClientConfig, ClientStatusRequest, ClientStatusResponse, ConfigStatus,
 };
-use envoy_types::pb::google::protobuf::value::Kind as Of;
+use envoy_types::pb::google::protobuf::value::Kind as ProtoValue;
 use envoy_types::pb::google::protobuf::{Struct, Value};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -19,11 +19,11 @@
 const ANSWER_LONG: usize = 64 * 1024 * 1024;
 
 pub(crate) fn number(n: f64) -> Value {
-    Value { kind: Some(Of::NumberValue(n)) }
+    Value { kind: Some(ProtoValue::NumberValue(n)) }
 }
 
 pub(crate) fn text(text: &str) -> Value {
-    Value { kind: Some(Of::StringValue(text.to_owned())) }
+    Value { kind: Some(ProtoValue::StringValue(text.to_owned())) }
 }
 
 /// Streams shown in one turn: what is shown must not keep a drain waiting.
@@ -31,16 +31,16 @@
 
 /// A status that is being put together, a few streams a turn.
 #[derive(Default)]
-pub struct Showing {
+pub struct StatusBuilder {
     next: StreamId,
     response: ClientStatusResponse,
 }
 
-impl Showing {
+impl StatusBuilder {
     /// Takes the next few streams; the whole once there are no more.
-    pub fn go_on(&mut self, exchange: &Exchange, now: Duration) -> Option<ClientStatusResponse> {
+    pub fn advance(&mut self, server: &AdsServer, now: Duration) -> Option<ClientStatusResponse> {
         let before = self.response.config.len();
-        for stream in exchange.shown_from(self.next, now).take(TURN_MOST) {
+        for stream in server.stream_statuses_from(self.next, now).take(TURN_MOST) {
             self.next = stream.id + 1;
             self.response.config.push(config(&stream));
         }
@@ -50,41 +50,41 @@
 }
 
 /// A stream with what it holds and refused; what the published message has no field for stands in the node's metadata.
-fn config(stream: &Shown<'_>) -> ClientConfig {
+fn config(stream: &StreamStatus<'_>) -> ClientConfig {
     let ms = |span: Duration| number(span.as_millis() as f64);
-    let form = if stream.form == Form::Whole { "whole" } else { "delta" };
+    let variant = if stream.variant == ProtocolVariant::Whole { "whole" } else { "delta" };
     let told = [
         ("peer", text(stream.peer)),
-        ("form", text(form)),
+        ("form", text(variant)),
         ("stream", number(stream.id as f64)),
         ("age_ms", ms(stream.age)),
-        ("heard_ms", ms(stream.heard)),
-        ("lag_ms", ms(stream.lag)),
-        ("lease_ms", stream.lease.map_or(number(-1.0), ms)),
-        ("owed", number(stream.owed as f64)),
-        ("messages", number(stream.counted.messages as f64)),
-        ("beats", number(stream.counted.beats as f64)),
-        ("accepted", number(stream.counted.accepted as f64)),
-        ("refused", number(stream.counted.refused as f64)),
-        ("unknown_types", number(stream.counted.unknown_types as f64)),
+        ("heard_ms", ms(stream.since_last_request)),
+        ("lag_ms", ms(stream.oldest_unacked_age)),
+        ("lease_ms", stream.lease_left.map_or(number(-1.0), ms)),
+        ("owed", number(stream.pending as f64)),
+        ("messages", number(stream.counters.messages as f64)),
+        ("beats", number(stream.counters.heartbeats as f64)),
+        ("accepted", number(stream.counters.acks as f64)),
+        ("refused", number(stream.counters.nacks as f64)),
+        ("unknown_types", number(stream.counters.unknown_types as f64)),
     ];
     let fields = told.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
-    let held = stream.held.iter().map(|(kind, name, version)| GenericXdsConfig {
-        type_url: kind.url().into(),
+    let held = stream.sent_versions.iter().map(|(resource_type, name, version)| GenericXdsConfig {
+        type_url: resource_type.type_url().into(),
         name: (*name).to_owned(),
         version_info: version.to_string(),
         config_status: ConfigStatus::Synced.into(),
         client_status: ClientResourceStatus::Acked.into(),
         ..Default::default()
     });
-    let refused = stream.refused.iter().map(|(kind, name, refused)| GenericXdsConfig {
-        type_url: kind.url().into(),
+    let refused = stream.nacked.iter().map(|(resource_type, name, nack)| GenericXdsConfig {
+        type_url: resource_type.type_url().into(),
         name: (*name).to_owned(),
         config_status: ConfigStatus::Error.into(),
         client_status: ClientResourceStatus::Nacked.into(),
         error_state: Some(UpdateFailureState {
-            details: refused.why.clone(),
-            version_info: refused.version.to_string(),
+            details: nack.error.clone(),
+            version_info: nack.version.to_string(),
             ..Default::default()
         }),
         ..Default::default()
@@ -101,7 +101,7 @@
 }
 
 /// Asks a running service, with an order for one of its zones or without: the zone, and what is ordered.
-pub fn ask(
+pub fn fetch(
     address: SocketAddr,
     order: Option<(&str, &str)>,
     patience: Duration,
@@ -130,17 +130,17 @@
 }
 
 /// What an order asks for, if a request bears one: the zone, and what is ordered.
-pub fn ordered(request: &ClientStatusRequest) -> Option<(String, String)> {
+pub fn parse_order(request: &ClientStatusRequest) -> Option<(String, String)> {
     let fields = &request.node.as_ref()?.metadata.as_ref()?.fields;
     let said = |name: &str| match fields.get(name)?.kind.as_ref()? {
-        Of::StringValue(text) => Some(text.clone()),
+        ProtoValue::StringValue(text) => Some(text.clone()),
         _ => None,
     };
     Some((said("zone")?, said("order")?))
 }
 
 /// The table of zones that people read; `votes` adds who says what.
-pub fn print_zones(status: &ClientStatusResponse, votes: bool) -> String {
+pub fn format_zones(status: &ClientStatusResponse, votes: bool) -> String {
     let mut out = String::new();
     let heads = [
         "stage", "part", "why", "order", "epoch", "step", "backs", "since ms", "sheds", "asked/s", "bears/s",
@@ -150,11 +150,15 @@
     let _ = writeln!(out, "  well/ill/dead of members");
     for client in &status.config {
         let Some(node) = &client.node else { continue };
-        let (Some(zone), Some(metadata)) = (zone_named(&node.id), &node.metadata) else { continue };
+        let (Some(zone), Some(metadata)) = (parse_zone_resource_name(&node.id), &node.metadata) else {
+            continue;
+        };
         let told = |name: &str| match metadata.fields.get(name).and_then(|v| v.kind.as_ref()) {
-            Some(Of::NumberValue(n)) if matches!(name, "part" | "sheds") => format!("{:.0}%", n * 100.0),
-            Some(Of::NumberValue(n)) => format!("{n:.0}"),
-            Some(Of::StringValue(text)) => text.clone(),
+            Some(ProtoValue::NumberValue(n)) if matches!(name, "part" | "sheds") => {
+                format!("{:.0}%", n * 100.0)
+            }
+            Some(ProtoValue::NumberValue(n)) => format!("{n:.0}"),
+            Some(ProtoValue::StringValue(text)) => text.clone(),
             _ => "?".to_owned(),
         };
         let _ = write!(out, "{zone:<16}");
@@ -172,7 +176,7 @@
 }
 
 /// The table that people read: a line for each proxy, one more for each thing that it refused.
-pub fn print(status: &ClientStatusResponse) -> String {
+pub fn format_streams(status: &ClientStatusResponse) -> String {
     let mut out = String::new();
     let mut line = |cells: [&str; 8]| {
         let [node, peer, form, lease, lag, owed, holds, refused] = cells;
@@ -184,13 +188,16 @@
     line(["proxy", "from", "form", "lease ms", "lag ms", "owed", "holds", "refused"]);
     let mut why = Vec::new();
     for client in &status.config {
-        let Some(node) = client.node.as_ref().filter(|node| zone_named(&node.id).is_none()) else { continue };
+        let Some(node) = client.node.as_ref().filter(|node| parse_zone_resource_name(&node.id).is_none())
+        else {
+            continue;
+        };
         let told = |name: &str| {
             let value = node.metadata.as_ref().and_then(|m| m.fields.get(name)).and_then(|v| v.kind.as_ref());
             match value {
-                Some(Of::NumberValue(n)) if *n < 0.0 => "none".to_owned(),
-                Some(Of::NumberValue(n)) => format!("{n:.0}"),
-                Some(Of::StringValue(text)) => text.clone(),
+                Some(ProtoValue::NumberValue(n)) if *n < 0.0 => "none".to_owned(),
+                Some(ProtoValue::NumberValue(n)) => format!("{n:.0}"),
+                Some(ProtoValue::StringValue(text)) => text.clone(),
                 _ => "?".to_owned(),
             }
         };
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -1,10 +1,12 @@
 //! The hosts, the purges and the decision module, and what is published of them. No I/O: news and the time come in,
-//! resources go to the exchange.
+//! resources go to the server.
 
-use crate::exchange::Exchange;
-use crate::messages::{self, BY_HOST, HostLine, PurgeLine, ROUTES, RouteLine, TIERS, TermsLine, Tier};
-use crate::reports::Summary;
-use crate::shelf::{Kind, Resource, Version};
+use crate::ads_server::AdsServer;
+use crate::load_reports::Summary;
+use crate::messages::{
+    self, BY_HOST_CLUSTER, HostLine, PurgeLine, ROUTE_TABLE, RouteLine, TIERS, TermsLine, Tier,
+};
+use crate::resource_cache::{Resource, ResourceType, Version};
 use myrtlegauge::decide::Router;
 use myrtlegauge::interface::{
     DecisionSink, Forward, GetIndex, HostEntry, HostIndex, HostStatus, ListUpdate, PurgeKey, Settings,
@@ -164,21 +166,21 @@
     }
 
     /// The host that listens at an address now.
-    pub fn at(&self, address: SocketAddr) -> Option<HostIndex> {
+    pub fn host_by_address(&self, address: SocketAddr) -> Option<HostIndex> {
         self.by_address.get(&address).copied().filter(|&host| self.hosts[host].gone_at.is_none())
     }
 
     /// The host of this name now.
-    pub fn named(&self, name: &str) -> Option<HostIndex> {
+    pub fn host_by_name(&self, name: &str) -> Option<HostIndex> {
         self.places.index_of(name).filter(|&host| self.hosts[host].gone_at.is_none())
     }
 
-    pub fn service(&self, name: &str) -> Option<usize> {
+    pub fn service_index(&self, name: &str) -> Option<usize> {
         self.services.iter().position(|service| service.name == name)
     }
 
     /// Takes lines of the list; whom a whole one leaves out is gone.
-    pub fn listed(&mut self, lines: &[Endpoint<'_>], whole: bool, now: Duration) {
+    pub fn on_host_list(&mut self, lines: &[Endpoint<'_>], whole: bool, now: Duration) {
         let mut entries = Vec::with_capacity(lines.len());
         if whole {
             let told: std::collections::BTreeSet<&str> = lines.iter().map(|line| &*line.name).collect();
@@ -237,7 +239,7 @@
     }
 
     /// Holds back what zones don't take, by the footprint's numbers.
-    pub fn hold_back(&mut self, parts: &[(usize, f64)], now: Duration) {
+    pub fn withhold(&mut self, parts: &[(usize, f64)], now: Duration) {
         let moved: Vec<_> =
             parts.iter().filter(|(zone, part)| self.held_back[*zone] != 1.0 - part).copied().collect();
         if moved.is_empty() {
@@ -257,7 +259,7 @@
     }
 
     /// Where a host stands, by the footprint's number.
-    pub fn zone(&self, index: HostIndex) -> usize {
+    pub fn zone_of(&self, index: HostIndex) -> usize {
         self.hosts[index].entry.zone
     }
 
@@ -269,7 +271,7 @@
     }
 
     /// Takes a purge; one that names nothing, or whose time is no time, is counted and says nothing.
-    pub fn purged(&mut self, purge: &Purge<'_>, now: Duration) {
+    pub fn on_purge(&mut self, purge: &Purge<'_>, now: Duration) {
         let object = purge.object.as_deref().and_then(|id| u64::from_str_radix(id, 16).ok());
         let named = object.map(PurgeKey::Object).or(purge.bucket.map(PurgeKey::Group));
         let Some(named) = named.filter(|_| purge.unix_ms.is_finite() && purge.unix_ms >= 0.0) else {
@@ -287,7 +289,7 @@
     }
 
     /// What proxies saw in an interval.
-    pub fn reported(&mut self, summary: &Summary, now: Duration) {
+    pub fn on_load_summary(&mut self, summary: &Summary, now: Duration) {
         self.told(now, |round| {
             for &(host, success) in &summary.outcomes {
                 round.on_host_report(host, success);
@@ -299,7 +301,7 @@
     }
 
     /// The module's wake-up, where it is due; and hosts long gone give their index back.
-    pub fn tend(&mut self, now: Duration) {
+    pub fn on_timer(&mut self, now: Duration) {
         if now >= self.wakes {
             self.told(now, |round| round.on_wakeup());
         }
@@ -328,7 +330,7 @@
     }
 
     /// Publishes what differs from what was published last. `proxies`: how many share the bounds on fills.
-    pub fn publish(&mut self, exchange: &mut Exchange, proxies: usize, now: Duration, unix_ms: u64) {
+    pub fn publish(&mut self, server: &mut AdsServer, proxies: usize, now: Duration, unix_ms: u64) {
         let reading = self.router.routing_snapshot(now);
         let mut shares: Vec<Option<HostShare>> = vec![None; self.hosts.len()];
         for share in reading.caches.iter().chain(&reading.parents).chain(&reading.origin) {
@@ -355,14 +357,14 @@
             };
             if let Some(moved) = old.filter(|old| new.is_some_and(|new| new.tier != old.tier)) {
                 (changed[moved.tier as usize], ended[moved.tier as usize]) = (true, true);
-                exchange.put(Kind::Host, &moved.resource_name(), None, true);
+                server.put(ResourceType::Host, &moved.resource_name(), None, true);
             }
             let part = |line: Option<&HostLine>| line.map_or(0.0, |line| line.part);
             self.lags[at] = true;
             // A new host is named at once: nothing is gathered while a tier comes into being.
             changed[at] |= urgent || old.is_none() || part(new) < part(old);
             ended[at] |= urgent;
-            exchange.put(Kind::Host, &name, new.map(host_resource), urgent);
+            server.put(ResourceType::Host, &name, new.map(host_resource), urgent);
         }
         for (tier, changed) in changed.iter_mut().enumerate() {
             *changed |= self.lags[tier] && now >= self.assigned_at[tier] + GATHER;
@@ -370,7 +372,7 @@
                 (self.lags[tier], self.assigned_at[tier]) = (false, now);
             }
         }
-        self.publish_rest(exchange, &reading, changed, ended, unix_ms);
+        self.publish_rest(server, &reading, changed, ended, unix_ms);
     }
 
     fn line(&self, index: HostIndex, share: Option<HostShare>, proxies: usize) -> Option<HostLine> {
@@ -398,7 +400,7 @@
 
     fn publish_rest(
         &mut self,
-        exchange: &mut Exchange,
+        server: &mut AdsServer,
         reading: &RoutingSnapshot,
         changed: [bool; 3],
         ended: [bool; 3],
@@ -408,18 +410,23 @@
             let lines = self.hosts.iter().filter_map(|host| host.line.as_ref());
             let mut lines: Vec<_> = lines.filter(|line| line.tier == tier).collect();
             lines.sort_by(|a, b| a.name.cmp(&b.name));
-            let said: String = lines.iter().map(|line| line.canonical()).collect();
+            let said: String = lines.iter().map(|line| line.version_text()).collect();
             let body = messages::assignment_body(tier.name(), &lines);
             let resource = resource(0, 0, &said, body, true);
-            exchange.put(Kind::Assignment, tier.name(), Some(resource), ended[tier as usize]);
+            server.put(ResourceType::Assignment, tier.name(), Some(resource), ended[tier as usize]);
         }
         if !std::mem::replace(&mut self.routed, true) {
-            for name in TIERS.map(Tier::name).into_iter().chain([BY_HOST]) {
+            for name in TIERS.map(Tier::name).into_iter().chain([BY_HOST_CLUSTER]) {
                 let body = messages::cluster_body(name, CONNECT);
-                exchange.put(Kind::Cluster, name, Some(resource(0, 0, name, body, false)), false);
+                server.put(ResourceType::Cluster, name, Some(resource(0, 0, name, body, false)), false);
             }
-            let body = messages::assignment_body(BY_HOST, &[]);
-            exchange.put(Kind::Assignment, BY_HOST, Some(resource(0, 0, BY_HOST, body, true)), false);
+            let body = messages::assignment_body(BY_HOST_CLUSTER, &[]);
+            server.put(
+                ResourceType::Assignment,
+                BY_HOST_CLUSTER,
+                Some(resource(0, 0, BY_HOST_CLUSTER, body, true)),
+                false,
+            );
             let lines = self.services.iter().zip(&reading.terms).map(|(service, terms)| RouteLine {
                 service: &service.name,
                 again: terms.is_repeatable,
@@ -432,7 +439,7 @@
                 .map(|l| format!("{} {} {:?} {};", l.service, l.again, l.timeout, l.forwards))
                 .collect();
             let body = messages::routes_body(&lines);
-            exchange.put(Kind::Route, ROUTES, Some(resource(0, 0, &said, body, false)), false);
+            server.put(ResourceType::Route, ROUTE_TABLE, Some(resource(0, 0, &said, body, false)), false);
         }
         for (ds, (service, terms)) in self.services.iter().zip(&reading.terms).enumerate() {
             let line = TermsLine {
@@ -447,28 +454,28 @@
             if self.terms[ds] != Some(line) {
                 self.terms[ds] = Some(line);
                 let name = format!("service/{}", service.name);
-                let put = resource(0, 0, &format!("{line:?}"), line.body(&name), false);
-                exchange.put(Kind::Notice, &name, Some(put), false);
+                let put = resource(0, 0, &format!("{line:?}"), line.encode_notice(&name), false);
+                server.put(ResourceType::Notice, &name, Some(put), false);
             }
         }
         let long = self.purged_within.as_millis() as u64;
         let over = self.purges.extract_if(.., |_, at| unix_ms >= at.saturating_add(long));
         for (named, _) in over.collect::<Vec<_>>() {
-            exchange.put(Kind::Notice, &purge_name(named), None, false);
+            server.put(ResourceType::Notice, &purge_resource_name(named), None, false);
         }
         for (&named, &at) in &self.purges {
-            let name = purge_name(named);
-            let known = exchange.shelf().get(Kind::Notice, &name);
-            if known.is_none_or(|known| known.version.life < at) {
+            let name = purge_resource_name(named);
+            let known = server.cache().get(ResourceType::Notice, &name);
+            if known.is_none_or(|known| known.version.incarnation < at) {
                 let line = PurgeLine { at_unix_ms: at, until_unix_ms: at.saturating_add(long) };
-                let put = resource(at, 1, &format!("{line:?}"), line.body(&name), false);
-                exchange.put(Kind::Notice, &name, Some(put), true);
+                let put = resource(at, 1, &format!("{line:?}"), line.encode_notice(&name), false);
+                server.put(ResourceType::Notice, &name, Some(put), true);
             }
         }
     }
 
     /// Hosts that the operator file names, as lines of a list.
-    pub fn listed_in_file(&mut self, hosts: &[myrtlegauge_operator::file::ListedHost], now: Duration) {
+    pub fn load_file_hosts(&mut self, hosts: &[myrtlegauge_operator::file::ListedHost], now: Duration) {
         let lines: Vec<_> = hosts
             .iter()
             .map(|host| Endpoint {
@@ -482,11 +489,11 @@
                 since_ms: Some(host.started_unix_ms),
             })
             .collect();
-        self.listed(&lines, true, now);
+        self.on_host_list(&lines, true, now);
     }
 }
 
-pub fn purge_name(named: PurgeKey) -> String {
+pub fn purge_resource_name(named: PurgeKey) -> String {
     match named {
         PurgeKey::Object(object) => format!("purge/object/{object:016x}"),
         PurgeKey::Group(group) => format!("purge/group/{group}"),
@@ -494,18 +501,18 @@
 }
 
 /// What a purge's resource name names.
-pub fn purge_named(name: &str) -> Option<PurgeKey> {
+pub fn parse_purge_resource_name(name: &str) -> Option<PurgeKey> {
     let rest = name.strip_prefix("purge/")?;
     let object = rest.strip_prefix("object/").and_then(|id| u64::from_str_radix(id, 16).ok());
     let group = rest.strip_prefix("group/").and_then(|id| id.parse().ok());
     object.map(PurgeKey::Object).or(group.map(PurgeKey::Group))
 }
 
-fn resource(life: u64, step: u64, said: &str, body: Vec<u8>, leased: bool) -> Resource {
-    Resource { version: Version::of(life, step, said.as_bytes()), body: body.into(), leased }
+fn resource(life: u64, step: u64, said: &str, body: Vec<u8>, is_leased: bool) -> Resource {
+    Resource { version: Version::new(life, step, said.as_bytes()), body: body.into(), is_leased }
 }
 
 fn host_resource(line: &HostLine) -> Resource {
     use prost::Message;
-    resource(line.life, line.draining.into(), &line.canonical(), line.message().encode_to_vec(), false)
+    resource(line.life, line.draining.into(), &line.version_text(), line.to_endpoint().encode_to_vec(), false)
 }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -4,10 +4,10 @@
 //!
 //! What it was told holds for a lease. Without one nothing is sent and each GET is shed at once.
 
-use crate::exchange::Form;
-use crate::fleet::purge_named;
-use crate::messages::{self, BY_HOST, HostLine, PurgeLine, ROUTES, TIERS, TermsLine, Tier};
-use crate::shelf::Kind;
+use crate::ads_server::ProtocolVariant;
+use crate::fleet::parse_purge_resource_name;
+use crate::messages::{self, BY_HOST_CLUSTER, HostLine, PurgeLine, ROUTE_TABLE, TIERS, TermsLine, Tier};
+use crate::resource_cache::ResourceType;
 use envoy_types::pb::envoy::config::endpoint::v3::{ClusterLoadAssignment, LbEndpoint};
 use myrtlegauge::interface::PurgeKey;
 use myrtlegauge::snapshot::{self, HostShare, RoutingTable};
@@ -17,24 +17,24 @@
 
 /// For how long something that was told is not taken back by an instance that may not have heard of it: what a change
 /// log has to tell is everywhere within seven seconds.
-const CATCH_UP_MS: u64 = 8000;
+const NEWER_FACT_TIMEOUT_MS: u64 = 8000;
 /// What times are rounded to.
 const TICK: Duration = Duration::from_millis(2);
 /// Hosts remembered after they were gone, so that an instance behind can't bring them back.
-const GONE_MOST: usize = 4096;
+const MAX_REMOVED_HOSTS: usize = 4096;
 
 /// A GET as far as it matters where it goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct GetKey<'a> {
     pub service: &'a str,
     pub object: u64,
-    pub part: u32,
+    pub chunk: u32,
     pub group: u64,
 }
 
 /// Why a GET is shed here, at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Shed {
+pub enum ShedReason {
     /// Nothing was heard for too long: a drain or a purge may have gone by.
     NoLease,
     UnknownService,
@@ -49,20 +49,20 @@
     /// None: a miss is not filled.
     pub source: Option<&'a HostLine>,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub only_if_cached: bool,
     /// The oldest copy that will do; zero: any age.
-    pub oldest: Duration,
+    pub max_accepted_age: Duration,
     pub terms: &'a TermsLine,
 }
 
-struct Told {
+struct KnownHost {
     line: HostLine,
     at_ms: u64,
 }
 
 #[derive(Default)]
 pub struct Follower {
-    hosts: BTreeMap<String, Told>,
+    hosts: BTreeMap<String, KnownHost>,
     /// Hosts taken away, with the life that ended and when.
     gone: BTreeMap<String, (u64, u64)>,
     purges: BTreeMap<PurgeKey, PurgeLine>,
@@ -75,60 +75,66 @@
 }
 
 /// What to subscribe to, in order.
-pub fn subscriptions(form: Form) -> Vec<(Kind, Vec<&'static str>)> {
+pub fn subscriptions(form: ProtocolVariant) -> Vec<(ResourceType, Vec<&'static str>)> {
     match form {
-        Form::Delta => vec![
-            (Kind::Notice, vec!["*"]),
-            (Kind::Cluster, vec!["*"]),
-            (Kind::Host, vec!["*"]),
-            (Kind::Assignment, vec![BY_HOST]),
-            (Kind::Route, vec![ROUTES]),
+        ProtocolVariant::Delta => vec![
+            (ResourceType::Notice, vec!["*"]),
+            (ResourceType::Cluster, vec!["*"]),
+            (ResourceType::Host, vec!["*"]),
+            (ResourceType::Assignment, vec![BY_HOST_CLUSTER]),
+            (ResourceType::Route, vec![ROUTE_TABLE]),
         ],
-        Form::Whole => vec![
-            (Kind::Notice, vec!["*"]),
-            (Kind::Cluster, vec![]),
-            (Kind::Assignment, TIERS.map(Tier::name).to_vec()),
-            (Kind::Route, vec![ROUTES]),
+        ProtocolVariant::Whole => vec![
+            (ResourceType::Notice, vec!["*"]),
+            (ResourceType::Cluster, vec![]),
+            (ResourceType::Assignment, TIERS.map(Tier::name).to_vec()),
+            (ResourceType::Route, vec![ROUTE_TABLE]),
         ],
     }
 }
 
 /// When a message was written, by its nonce: a lease counts from there.
-pub fn written_at(nonce: &str) -> Option<u64> {
+pub fn nonce_unix_ms(nonce: &str) -> Option<u64> {
     u64::from_str_radix(nonce.split_once('.')?.1, 16).ok()
 }
 
 impl Follower {
     /// Takes a resource. What can't be used changes nothing, and is to be refused.
-    pub fn take(&mut self, kind: Kind, name: &str, body: &[u8], now_ms: u64) -> Result<(), &'static str> {
-        match kind {
-            Kind::Notice => {
-                let (named, fields) = messages::read_notice(body)?;
-                if let Some(purged) = purge_named(&named) {
-                    let told = PurgeLine::read(&fields)?;
+    pub fn apply(
+        &mut self,
+        resource_type: ResourceType,
+        name: &str,
+        body: &[u8],
+        now_ms: u64,
+    ) -> Result<(), &'static str> {
+        match resource_type {
+            ResourceType::Notice => {
+                let (named, fields) = messages::decode_notice(body)?;
+                if let Some(purged) = parse_purge_resource_name(&named) {
+                    let told = PurgeLine::from_fields(&fields)?;
                     let known = self.purges.entry(purged).or_insert(told);
                     if known.at_unix_ms < told.at_unix_ms {
                         *known = told;
                     }
                 } else if let Some(service) = named.strip_prefix("service/") {
-                    self.terms.insert(service.to_owned(), TermsLine::read(&fields)?);
+                    self.terms.insert(service.to_owned(), TermsLine::from_fields(&fields)?);
                 }
                 // Others are for later versions.
                 self.purges.retain(|_, purge| now_ms < purge.until_unix_ms);
                 Ok(())
             }
-            Kind::Host => {
+            ResourceType::Host => {
                 let read = LbEndpoint::decode(body).map_err(|_| "an endpoint that can't be read")?;
-                let line = HostLine::read(&read)?;
+                let line = HostLine::from_endpoint(&read)?;
                 self.stands(name, line, now_ms);
                 Ok(())
             }
-            Kind::Assignment => {
+            ResourceType::Assignment => {
                 let read =
                     ClusterLoadAssignment::decode(body).map_err(|_| "an assignment that can't be read")?;
-                let Some(tier) = Tier::of(&read.cluster_name) else { return Ok(()) };
+                let Some(tier) = Tier::from_name(&read.cluster_name) else { return Ok(()) };
                 let told = read.endpoints.iter().flat_map(|locality| &locality.lb_endpoints);
-                let lines = told.map(HostLine::read).collect::<Result<Vec<_>, _>>()?;
+                let lines = told.map(HostLine::from_endpoint).collect::<Result<Vec<_>, _>>()?;
                 let left: Vec<_> = self
                     .hosts
                     .iter()
@@ -137,13 +143,13 @@
                     })
                     .map(|(name, _)| name.clone())
                     .collect();
-                left.iter().for_each(|name| self.removed(Kind::Host, name, now_ms));
+                left.iter().for_each(|name| self.remove(ResourceType::Host, name, now_ms));
                 for line in lines {
                     self.stands(&line.resource_name(), line, now_ms);
                 }
                 Ok(())
             }
-            Kind::Cluster | Kind::Route => Ok(()),
+            ResourceType::Cluster | ResourceType::Route => Ok(()),
         }
     }
 
@@ -151,7 +157,7 @@
     /// of it, for it costs little where it is wrong.
     fn stands(&mut self, name: &str, line: HostLine, now_ms: u64) {
         let order = (line.life, line.draining);
-        let lately = |at_ms: u64| now_ms < at_ms + CATCH_UP_MS;
+        let lately = |at_ms: u64| now_ms < at_ms + NEWER_FACT_TIMEOUT_MS;
         let known = self.hosts.get(name).filter(|told| lately(told.at_ms));
         let ended = self.gone.get(name).filter(|(_, at_ms)| lately(*at_ms));
         let older = known.is_some_and(|told| (told.line.life, told.line.draining) > order)
@@ -162,18 +168,18 @@
         // The same news again leaves its time as it was, for a correction must get through in the end.
         let at_ms = self.hosts.get(name).filter(|told| (told.line.life, told.line.draining) == order);
         let at_ms = at_ms.map_or(now_ms, |told| told.at_ms);
-        self.hosts.insert(name.to_owned(), Told { line, at_ms });
+        self.hosts.insert(name.to_owned(), KnownHost { line, at_ms });
         self.stale = true;
     }
 
     /// Takes a resource away. A purge stays: it ends by its own time.
-    pub fn removed(&mut self, kind: Kind, name: &str, now_ms: u64) {
-        if kind != Kind::Host {
+    pub fn remove(&mut self, resource_type: ResourceType, name: &str, now_ms: u64) {
+        if resource_type != ResourceType::Host {
             return;
         }
         if let Some(told) = self.hosts.remove(name) {
-            self.gone.retain(|_, (_, at_ms)| now_ms < *at_ms + CATCH_UP_MS);
-            if self.gone.len() < GONE_MOST {
+            self.gone.retain(|_, (_, at_ms)| now_ms < *at_ms + NEWER_FACT_TIMEOUT_MS);
+            if self.gone.len() < MAX_REMOVED_HOSTS {
                 self.gone.insert(name.to_owned(), (told.line.life, now_ms));
             }
             self.stale = true;
@@ -181,7 +187,7 @@
     }
 
     /// Takes a lease: a time to live of an assignment, of a message written and received at these times.
-    pub fn leased(&mut self, ttl: Duration, written_ms: u64, received_ms: u64) {
+    pub fn extend_lease(&mut self, ttl: Duration, written_ms: u64, received_ms: u64) {
         let until = written_ms.min(received_ms) + ttl.as_millis() as u64;
         self.lease_until_ms = self.lease_until_ms.max(until);
     }
@@ -190,15 +196,15 @@
         self.lease_until_ms.saturating_sub(now_ms)
     }
 
-    pub fn knows(&self, host: &str) -> Option<&HostLine> {
+    pub fn host(&self, host: &str) -> Option<&HostLine> {
         self.hosts.values().map(|told| &told.line).find(|line| line.name == host)
     }
 
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.hosts.len()
     }
 
-    pub fn purged(&self, named: PurgeKey) -> Option<PurgeLine> {
+    pub fn purge(&self, named: PurgeKey) -> Option<PurgeLine> {
         self.purges.get(&named).copied()
     }
 
@@ -233,38 +239,38 @@
     /// host, by name.
     pub fn choose(
         &mut self,
-        asked: &Asked<'_>,
+        get: &GetKey<'_>,
         tried: [Option<&str>; 2],
         out: impl Fn(&str) -> u32,
         now_ms: u64,
-    ) -> Result<Choice<'_>, Shed> {
+    ) -> Result<Choice<'_>, ShedReason> {
         if now_ms >= self.lease_until_ms {
-            return Err(Shed::NoLease);
+            return Err(ShedReason::NoLease);
         }
         self.settle();
-        let terms = self.terms.get(asked.service).ok_or(Shed::UnknownService)?;
+        let terms = self.terms.get(get.service).ok_or(ShedReason::UnknownService)?;
         self.map.is_origin_spared = terms.spared;
-        let key = snapshot::ring_key(asked.object, asked.part);
+        let key = snapshot::ring_key(get.object, get.chunk);
         let index = |name: &str| self.lines.iter().position(|line| line.name == name);
         let [tried_cache, tried_source] = tried.map(|name| name.and_then(index));
-        let cache = self.map.cache(key, tried_cache).ok_or(Shed::NoHost)?.host;
+        let cache = self.map.cache(key, tried_cache).ok_or(ShedReason::NoHost)?.host;
         let room = |share: &HostShare| f64::from(out(&self.lines[share.host].name)) < share.max_fills;
         let source = if terms.passed_on {
             self.map.origin.map(|origin| (origin.host, false))
         } else {
             self.map.source(key, tried_source, room)
         };
-        let named = [PurgeKey::Object(asked.object), PurgeKey::Group(asked.group)];
+        let named = [PurgeKey::Object(get.object), PurgeKey::Group(get.group)];
         let purged =
             named.iter().filter_map(|named| self.purges.get(named)).map(|purge| purge.at_unix_ms).max();
         let purged = purged.map(Duration::from_millis);
-        let oldest =
+        let max_accepted_age =
             snapshot::max_accepted_age(terms.accepted_age, purged, Duration::from_millis(now_ms), TICK);
         Ok(Choice {
             cache: &self.lines[cache],
             source: source.map(|(host, _)| &self.lines[host]),
-            held_only: source.is_some_and(|(_, held)| held),
-            oldest: if terms.passed_on { Duration::ZERO } else { oldest },
+            only_if_cached: source.is_some_and(|(_, held)| held),
+            max_accepted_age: if terms.passed_on { Duration::ZERO } else { max_accepted_age },
             terms,
         })
     }
--- a/crates/control/src/grpc.rs
+++ b/crates/control/src/grpc.rs
@@ -1,7 +1,7 @@
 //! The published gRPC services, on tokio on a thread of its own. Nothing is decided here: what proxies say goes to the
 //! service's loop, and what the loop has for them goes out as it is.
 
-use crate::exchange::{Form, Message, Request};
+use crate::ads_server::{Message, ProtocolVariant, Request};
 use crate::messages;
 use calloop::channel::Sender;
 use envoy_types::pb::envoy::config::core::v3::{ControlPlane, Node};
@@ -25,42 +25,42 @@
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Status, Streaming};
 
-/// Messages that wait for one proxy outside the exchange: a few, for what waits here can't be overtaken.
-pub const ROOM: usize = 4;
+/// Messages that wait for one proxy outside the server: a few, for what waits here can't be overtaken.
+pub const OUTBOX_CAPACITY: usize = 4;
 /// Requests of one proxy that wait for the loop; more are left unread.
-const UNHEARD: usize = 8;
+const MAX_PENDING_REQUESTS: usize = 8;
 /// Bytes of one request or report: four thousand names, or reports of as many hosts.
-const REQUEST_LONG: usize = 1024 * 1024;
+const MAX_REQUEST_BYTES: usize = 1024 * 1024;
 /// Streams of one connection: its own, reports, status.
-const STREAMS: u32 = 8;
+const MAX_STREAMS_PER_CONNECTION: u32 = 8;
 /// A connection that is dead without a word is found in this much and the same again.
 const KEEPALIVE: Duration = Duration::from_secs(10);
 
 /// A stream, from its start.
-pub type Ticket = u64;
+pub type GrpcStreamId = u64;
 
 /// What the loop hears.
-pub enum Heard {
+pub enum ServiceEvent {
     Opened {
-        ticket: Ticket,
+        ticket: GrpcStreamId,
         peer: String,
-        out: Out,
+        out: ResponseSender,
     },
     /// The permit is given back once it was heard.
-    Asked {
-        ticket: Ticket,
+    Requested {
+        ticket: GrpcStreamId,
         node: String,
         request: Request,
         permit: OwnedSemaphorePermit,
     },
     Closed {
-        ticket: Ticket,
+        ticket: GrpcStreamId,
     },
     Reported {
         report: LoadStatsRequest,
         permit: OwnedSemaphorePermit,
     },
-    Shown {
+    StatusRequested {
         /// An operator's order for a zone.
         order: Option<(String, String)>,
         reply: oneshot::Sender<Result<ClientStatusResponse, String>>,
@@ -68,24 +68,24 @@
 }
 
 /// Where a stream's messages go.
-pub enum Out {
+pub enum ResponseSender {
     Whole(mpsc::Sender<Result<DiscoveryResponse, Status>>),
     Delta(mpsc::Sender<Result<DeltaDiscoveryResponse, Status>>),
 }
 
-impl Out {
-    pub fn form(&self) -> Form {
+impl ResponseSender {
+    pub fn variant(&self) -> ProtocolVariant {
         match self {
-            Out::Whole(_) => Form::Whole,
-            Out::Delta(_) => Form::Delta,
+            ResponseSender::Whole(_) => ProtocolVariant::Whole,
+            ResponseSender::Delta(_) => ProtocolVariant::Delta,
         }
     }
 
     /// Messages that may still be handed over.
     pub fn room(&self) -> usize {
         match self {
-            Out::Whole(out) => out.capacity(),
-            Out::Delta(out) => out.capacity(),
+            ResponseSender::Whole(out) => out.capacity(),
+            ResponseSender::Delta(out) => out.capacity(),
         }
     }
 
@@ -93,10 +93,10 @@
     pub fn send(&self, message: Message, plane: &str) {
         let control_plane = Some(ControlPlane { identifier: plane.to_owned() });
         match self {
-            Out::Whole(out) => {
+            ResponseSender::Whole(out) => {
                 let _ = out.try_send(Ok(DiscoveryResponse { control_plane, ..whole(message) }));
             }
-            Out::Delta(out) => {
+            ResponseSender::Delta(out) => {
                 let _ = out.try_send(Ok(DeltaDiscoveryResponse { control_plane, ..delta(message) }));
             }
         }
@@ -104,24 +104,24 @@
 
     pub fn end(&self, status: Status) {
         match self {
-            Out::Whole(out) => drop(out.try_send(Err(status))),
-            Out::Delta(out) => drop(out.try_send(Err(status))),
+            ResponseSender::Whole(out) => drop(out.try_send(Err(status))),
+            ResponseSender::Delta(out) => drop(out.try_send(Err(status))),
         }
     }
 }
 
 /// A state-of-the-world message; what has a time to live stands in the published wrapper.
 fn whole(message: Message) -> DiscoveryResponse {
-    let kind = message.kind;
+    let resource_type = message.resource_type;
     let resources = message.resources.into_iter().map(|sent| {
-        let body = sent.body.as_ref().map(|body| messages::any(kind, body));
+        let body = sent.body.as_ref().map(|body| messages::encode_any(resource_type, body));
         match (sent.ttl, body) {
             (None, Some(body)) => body,
             (ttl, resource) => {
                 let wrapped = Resource {
                     name: sent.name.to_string(),
                     version: sent.version.to_string(),
-                    ttl: ttl.map(messages::ttl),
+                    ttl: ttl.map(messages::encode_duration),
                     resource,
                     ..Default::default()
                 };
@@ -132,25 +132,25 @@
     DiscoveryResponse {
         version_info: message.version,
         resources: resources.collect(),
-        type_url: kind.url().into(),
+        type_url: resource_type.type_url().into(),
         nonce: message.nonce,
         ..Default::default()
     }
 }
 
 fn delta(message: Message) -> DeltaDiscoveryResponse {
-    let kind = message.kind;
+    let resource_type = message.resource_type;
     let resources = message.resources.into_iter().map(|sent| Resource {
         name: sent.name.to_string(),
         version: sent.version.to_string(),
-        ttl: sent.ttl.map(messages::ttl),
-        resource: sent.body.as_ref().map(|body| messages::any(kind, body)),
+        ttl: sent.ttl.map(messages::encode_duration),
+        resource: sent.body.as_ref().map(|body| messages::encode_any(resource_type, body)),
         ..Default::default()
     });
     DeltaDiscoveryResponse {
         resources: resources.collect(),
         removed_resources: message.removed.iter().map(ToString::to_string).collect(),
-        type_url: kind.url().into(),
+        type_url: resource_type.type_url().into(),
         nonce: message.nonce,
         ..Default::default()
     }
@@ -161,29 +161,29 @@
 }
 
 impl From<DiscoveryRequest> for Request {
-    fn from(told: DiscoveryRequest) -> Self {
+    fn from(request: DiscoveryRequest) -> Self {
         Self {
-            url: told.type_url,
-            names: told.resource_names,
-            version: told.version_info,
-            nonce: told.response_nonce,
-            error: told.error_detail.map(|error| error.message),
+            type_url: request.type_url,
+            resource_names: request.resource_names,
+            accepted_version: request.version_info,
+            nonce: request.response_nonce,
+            error_detail: request.error_detail.map(|error| error.message),
             ..Self::default()
         }
     }
 }
 
 impl From<DeltaDiscoveryRequest> for Request {
-    fn from(told: DeltaDiscoveryRequest) -> Self {
-        let mut holds: Vec<_> = told.initial_resource_versions.into_iter().collect();
-        holds.sort_unstable();
+    fn from(request: DeltaDiscoveryRequest) -> Self {
+        let mut held_versions: Vec<_> = request.initial_resource_versions.into_iter().collect();
+        held_versions.sort_unstable();
         Self {
-            url: told.type_url,
-            names: told.resource_names_subscribe,
-            dropped: told.resource_names_unsubscribe,
-            holds,
-            nonce: told.response_nonce,
-            error: told.error_detail.map(|error| error.message),
+            type_url: request.type_url,
+            resource_names: request.resource_names_subscribe,
+            unsubscribed_names: request.resource_names_unsubscribe,
+            held_versions,
+            nonce: request.response_nonce,
+            error_detail: request.error_detail.map(|error| error.message),
             ..Self::default()
         }
     }
@@ -191,43 +191,43 @@
 
 /// What every service here needs.
 #[derive(Clone)]
-struct Front {
-    hears: Sender<Heard>,
+struct Frontend {
+    hears: Sender<ServiceEvent>,
     tickets: Arc<AtomicU64>,
     reports_every: Duration,
 }
 
-type Answers<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
 /// Tells the loop that a stream is over, however it ended.
-struct Ends(Sender<Heard>, Ticket);
+struct CloseNotifier(Sender<ServiceEvent>, GrpcStreamId);
 
-impl Drop for Ends {
+impl Drop for CloseNotifier {
     fn drop(&mut self) {
-        let _ = self.0.send(Heard::Closed { ticket: self.1 });
+        let _ = self.0.send(ServiceEvent::Closed { ticket: self.1 });
     }
 }
 
-impl Front {
-    fn opened(&self, peer: Option<SocketAddr>, out: Out) -> Ticket {
+impl Frontend {
+    fn opened(&self, peer: Option<SocketAddr>, out: ResponseSender) -> GrpcStreamId {
         let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
         let peer = peer.map(|peer| peer.to_string()).unwrap_or_default();
-        let _ = self.hears.send(Heard::Opened { ticket, peer, out });
+        let _ = self.hears.send(ServiceEvent::Opened { ticket, peer, out });
         ticket
     }
 
     /// Passes a stream's requests to the loop, a few at a time, until it ends.
-    fn listen<T>(&self, ticket: Ticket, mut inbound: Streaming<T>, read: fn(T) -> (String, Request))
+    fn listen<T>(&self, ticket: GrpcStreamId, mut inbound: Streaming<T>, read: fn(T) -> (String, Request))
     where
         T: Send + 'static,
     {
-        let ends = Ends(self.hears.clone(), ticket);
+        let ends = CloseNotifier(self.hears.clone(), ticket);
         tokio::spawn(async move {
-            let unheard = Arc::new(Semaphore::new(UNHEARD));
-            while let Ok(Some(told)) = inbound.message().await {
-                let (node, request) = read(told);
+            let unheard = Arc::new(Semaphore::new(MAX_PENDING_REQUESTS));
+            while let Ok(Some(request)) = inbound.message().await {
+                let (node, request) = read(request);
                 let Ok(permit) = Arc::clone(&unheard).acquire_owned().await else { break };
-                if ends.0.send(Heard::Asked { ticket, node, request, permit }).is_err() {
+                if ends.0.send(ServiceEvent::Requested { ticket, node, request, permit }).is_err() {
                     break;
                 }
             }
@@ -236,17 +236,19 @@
 }
 
 #[tonic::async_trait]
-impl ads::AggregatedDiscoveryService for Front {
-    type StreamAggregatedResourcesStream = Answers<DiscoveryResponse>;
-    type DeltaAggregatedResourcesStream = Answers<DeltaDiscoveryResponse>;
+impl ads::AggregatedDiscoveryService for Frontend {
+    type StreamAggregatedResourcesStream = ResponseStream<DiscoveryResponse>;
+    type DeltaAggregatedResourcesStream = ResponseStream<DeltaDiscoveryResponse>;
 
     async fn stream_aggregated_resources(
         &self,
         request: tonic::Request<Streaming<DiscoveryRequest>>,
     ) -> Result<tonic::Response<Self::StreamAggregatedResourcesStream>, Status> {
-        let (out, answers) = mpsc::channel(ROOM);
-        let ticket = self.opened(request.remote_addr(), Out::Whole(out));
-        self.listen(ticket, request.into_inner(), |mut told| (node_name(told.node.take()), told.into()));
+        let (out, answers) = mpsc::channel(OUTBOX_CAPACITY);
+        let ticket = self.opened(request.remote_addr(), ResponseSender::Whole(out));
+        self.listen(ticket, request.into_inner(), |mut request| {
+            (node_name(request.node.take()), request.into())
+        });
         Ok(tonic::Response::new(Box::pin(ReceiverStream::new(answers))))
     }
 
@@ -254,16 +256,18 @@
         &self,
         request: tonic::Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<tonic::Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        let (out, answers) = mpsc::channel(ROOM);
-        let ticket = self.opened(request.remote_addr(), Out::Delta(out));
-        self.listen(ticket, request.into_inner(), |mut told| (node_name(told.node.take()), told.into()));
+        let (out, answers) = mpsc::channel(OUTBOX_CAPACITY);
+        let ticket = self.opened(request.remote_addr(), ResponseSender::Delta(out));
+        self.listen(ticket, request.into_inner(), |mut request| {
+            (node_name(request.node.take()), request.into())
+        });
         Ok(tonic::Response::new(Box::pin(ReceiverStream::new(answers))))
     }
 }
 
 #[tonic::async_trait]
-impl lrs::LoadReportingService for Front {
-    type StreamLoadStatsStream = Answers<LoadStatsResponse>;
+impl lrs::LoadReportingService for Frontend {
+    type StreamLoadStatsStream = ResponseStream<LoadStatsResponse>;
 
     async fn stream_load_stats(
         &self,
@@ -271,7 +275,7 @@
     ) -> Result<tonic::Response<Self::StreamLoadStatsStream>, Status> {
         let asked = LoadStatsResponse {
             send_all_clusters: true,
-            load_reporting_interval: Some(messages::ttl(self.reports_every)),
+            load_reporting_interval: Some(messages::encode_duration(self.reports_every)),
             report_endpoint_granularity: true,
             ..Default::default()
         };
@@ -286,7 +290,7 @@
                 node = report.node.take().or(node);
                 report.node.clone_from(&node);
                 let Ok(permit) = Arc::clone(&unheard).acquire_owned().await else { break };
-                if hears.send(Heard::Reported { report, permit }).is_err() {
+                if hears.send(ServiceEvent::Reported { report, permit }).is_err() {
                     break;
                 }
             }
@@ -297,8 +301,8 @@
 }
 
 #[tonic::async_trait]
-impl csds::ClientStatusDiscoveryService for Front {
-    type StreamClientStatusStream = Answers<ClientStatusResponse>;
+impl csds::ClientStatusDiscoveryService for Frontend {
+    type StreamClientStatusStream = ResponseStream<ClientStatusResponse>;
 
     async fn stream_client_status(
         &self,
@@ -320,18 +324,24 @@
     }
 }
 
-impl Front {
+impl Frontend {
     async fn show(&self, asked: &ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
         let (reply, shown) = oneshot::channel();
         let gone = || Status::unavailable("the service is ending");
-        self.hears.send(Heard::Shown { order: crate::shown::ordered(asked), reply }).map_err(|_| gone())?;
+        self.hears
+            .send(ServiceEvent::StatusRequested { order: crate::client_status::parse_order(asked), reply })
+            .map_err(|_| gone())?;
         shown.await.map_err(|_| gone())?.map_err(Status::invalid_argument)
     }
 }
 
 /// Serves on a listener until the process ends.
-pub fn serve(listener: TcpListener, hears: Sender<Heard>, reports_every: Duration) -> Result<(), String> {
-    let front = Front { hears, tickets: Arc::new(AtomicU64::new(0)), reports_every };
+pub fn serve(
+    listener: TcpListener,
+    hears: Sender<ServiceEvent>,
+    reports_every: Duration,
+) -> Result<(), String> {
+    let front = Frontend { hears, tickets: Arc::new(AtomicU64::new(0)), reports_every };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime for gRPC: {e}"))?;
     listener.set_nonblocking(true).map_err(|e| format!("the listener: {e}"))?;
@@ -342,14 +352,14 @@
             tonic::transport::Server::builder()
                 .http2_keepalive_interval(Some(KEEPALIVE))
                 .http2_keepalive_timeout(Some(KEEPALIVE))
-                .max_concurrent_streams(STREAMS)
+                .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
                 .add_service(
                     ads::AggregatedDiscoveryServiceServer::new(front.clone())
-                        .max_decoding_message_size(REQUEST_LONG),
+                        .max_decoding_message_size(MAX_REQUEST_BYTES),
                 )
                 .add_service(
                     lrs::LoadReportingServiceServer::new(front.clone())
-                        .max_decoding_message_size(REQUEST_LONG),
+                        .max_decoding_message_size(MAX_REQUEST_BYTES),
                 )
                 .add_service(csds::ClientStatusDiscoveryServiceServer::new(front))
                 .serve_with_incoming(incoming)
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/load_reports.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 /// GETs in one report of one host; a proxy that does more in an interval than a machine can is not believed.
-const GETS_MOST: u64 = 1_000_000;
+const MAX_GETS_PER_REPORT: u64 = 1_000_000;
 /// Part of the interval after which a further report of the same proxy counts: clocks are not even, but a repeat of
 /// what was sent before is no news.
-const TOO_SOON: f64 = 0.5;
+const MIN_INTERVAL_FRACTION: f64 = 0.5;
 /// Proxies remembered; a crowd of made-up names must not fill the memory.
-const NODES_MOST: usize = 4096;
+const MAX_PROXIES: usize = 4096;
 
 /// What a proxy saw of one host in an interval.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -24,45 +24,45 @@
     pub errored: u64,
     /// GETs that came back, but late.
     pub late: u64,
-    /// Fills asked of this host as a source, by delivery service: all, those late or failed, and those out now.
-    pub fills: Vec<Fills>,
+    /// FillCounts asked of this host as a source, by delivery service: all, those late or failed, and those out now.
+    pub fills: Vec<FillCounts>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fills {
+pub struct FillCounts {
     pub ds: usize,
-    pub all: u64,
+    pub total: u64,
     /// As it is reported, a number of any kind.
-    pub bad: f64,
-    pub out: u64,
+    pub late_or_failed: f64,
+    pub in_flight: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Disbelief {
+pub enum ReportError {
     /// A number that is negative, not a number, or beyond what a proxy can do.
-    Absurd,
+    OutOfRange,
     /// Another report of this proxy came just before.
     TooSoon,
     /// More proxies than are remembered.
-    Crowd,
+    TooManyProxies,
 }
 
-impl std::fmt::Display for Disbelief {
+impl std::fmt::Display for ReportError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Disbelief::Absurd => "a number that can't be true",
-            Disbelief::TooSoon => "sooner than asked for",
-            Disbelief::Crowd => "of more proxies than are remembered",
+            ReportError::OutOfRange => "a number that can't be true",
+            ReportError::TooSoon => "sooner than asked for",
+            ReportError::TooManyProxies => "of more proxies than are remembered",
         })
     }
 }
 
-/// Fills of all hosts and services in one report: all, and those late or failed.
+/// FillCounts of all hosts and services in one report: all, and those late or failed.
 ///
-/// Call it only on a report that [`Reports::take`] believed: the numbers of any other have no bounds.
-pub fn fills_of(hosts: &[HostReport]) -> (u64, u64) {
+/// Call it only on a report that [`LoadLoadReports::add`] believed: the numbers of any other have no bounds.
+pub fn sum_fills(hosts: &[HostReport]) -> (u64, u64) {
     let fills = hosts.iter().flat_map(|report| &report.fills);
-    fills.fold((0, 0), |(all, bad), fills| (all + fills.all, bad + fills.bad as u64))
+    fills.fold((0, 0), |(all, bad), fills| (all + fills.total, bad + fills.late_or_failed as u64))
 }
 
 /// What the interval came to.
@@ -75,35 +75,35 @@
 }
 
 #[derive(Default)]
-pub struct Reports {
-    every: Duration,
+pub struct LoadReports {
+    interval: Duration,
     /// When each proxy last reported.
     last: BTreeMap<String, Duration>,
     /// By host: those for which most GETs were returned, and the others.
     votes: BTreeMap<usize, (u32, u32)>,
     fills: BTreeMap<(usize, usize), (u64, u64, u64)>,
-    closes: Duration,
-    pub taken: u64,
-    pub disbelieved: u64,
+    interval_end: Duration,
+    pub accepted: u64,
+    pub rejected: u64,
 }
 
-impl Reports {
+impl LoadReports {
     pub fn new(every: Duration, now: Duration) -> Self {
-        Self { every, closes: now + every, ..Self::default() }
+        Self { interval: every, interval_end: now + every, ..Self::default() }
     }
 
     pub fn every(&self) -> Duration {
-        self.every
+        self.interval
     }
 
     /// Takes one proxy's report, of hosts that are known.
-    pub fn take(&mut self, node: &str, hosts: &[HostReport], now: Duration) -> Result<(), Disbelief> {
+    pub fn add(&mut self, node: &str, hosts: &[HostReport], now: Duration) -> Result<(), ReportError> {
         let checked = self.check(node, hosts, now);
         if checked.is_err() {
-            self.disbelieved += 1;
+            self.rejected += 1;
             return checked;
         }
-        self.taken += 1;
+        self.accepted += 1;
         self.last.insert(node.to_owned(), now);
         for report in hosts {
             let (good, bad) = self.votes.entry(report.host).or_default();
@@ -114,47 +114,53 @@
             }
             for fills in &report.fills {
                 let sum = self.fills.entry((report.host, fills.ds)).or_default();
-                sum.0 += fills.all;
-                sum.1 += fills.bad as u64;
-                sum.2 += fills.out;
+                sum.0 += fills.total;
+                sum.1 += fills.late_or_failed as u64;
+                sum.2 += fills.in_flight;
             }
         }
         Ok(())
     }
 
-    fn check(&self, node: &str, hosts: &[HostReport], now: Duration) -> Result<(), Disbelief> {
-        let soon = self.last.get(node).is_some_and(|&at| now < at + self.every.mul_f64(TOO_SOON));
+    fn check(&self, node: &str, hosts: &[HostReport], now: Duration) -> Result<(), ReportError> {
+        let soon =
+            self.last.get(node).is_some_and(|&at| now < at + self.interval.mul_f64(MIN_INTERVAL_FRACTION));
         if soon {
-            return Err(Disbelief::TooSoon);
+            return Err(ReportError::TooSoon);
         }
-        if self.last.len() >= NODES_MOST && !self.last.contains_key(node) {
-            return Err(Disbelief::Crowd);
+        if self.last.len() >= MAX_PROXIES && !self.last.contains_key(node) {
+            return Err(ReportError::TooManyProxies);
         }
         let mut hosts_seen = std::collections::BTreeSet::new();
         let sound = hosts.iter().all(|report| {
             let gets = report.returned.saturating_add(report.errored);
             let fills = report.fills.iter().all(|fills| {
-                let bad = fills.bad.is_finite() && fills.bad >= 0.0 && fills.bad <= fills.all as f64;
-                bad && fills.all <= GETS_MOST && fills.out <= GETS_MOST
+                let bad = fills.late_or_failed.is_finite()
+                    && fills.late_or_failed >= 0.0
+                    && fills.late_or_failed <= fills.total as f64;
+                bad && fills.total <= MAX_GETS_PER_REPORT && fills.in_flight <= MAX_GETS_PER_REPORT
             });
-            gets <= GETS_MOST && report.late <= GETS_MOST && fills && hosts_seen.insert(report.host)
+            gets <= MAX_GETS_PER_REPORT
+                && report.late <= MAX_GETS_PER_REPORT
+                && fills
+                && hosts_seen.insert(report.host)
         });
-        if sound { Ok(()) } else { Err(Disbelief::Absurd) }
+        if sound { Ok(()) } else { Err(ReportError::OutOfRange) }
     }
 
-    /// When the interval closes.
-    pub fn due(&self) -> Duration {
-        self.closes
+    /// When the interval interval_end.
+    pub fn deadline(&self) -> Duration {
+        self.interval_end
     }
 
     /// Closes the interval, once it is over.
-    pub fn close(&mut self, now: Duration) -> Option<Summary> {
-        if now < self.closes {
+    pub fn close_interval(&mut self, now: Duration) -> Option<Summary> {
+        if now < self.interval_end {
             return None;
         }
-        self.closes = now + self.every;
+        self.interval_end = now + self.interval;
         // Who has not spoken for some intervals is forgotten.
-        let every = self.every;
+        let every = self.interval;
         self.last.retain(|_, at| now < *at + every * 8);
         let votes = std::mem::take(&mut self.votes);
         let fills = std::mem::take(&mut self.fills);
@@ -187,41 +193,43 @@
 
     #[test]
     fn one_proxy_is_one_vote_however_much_it_says() {
-        let mut reports = Reports::new(ms(500), ms(0));
-        reports.take("liar", &[report(0, 0, 900_000)], ms(1)).unwrap();
-        reports.take("a", &[report(0, 3, 0)], ms(1)).unwrap();
-        reports.take("b", &[report(0, 3, 1)], ms(1)).unwrap();
-        assert_eq!(reports.close(ms(499)), None);
-        assert_eq!(reports.close(ms(500)).unwrap().outcomes, [(0, true)]);
+        let mut reports = LoadReports::new(ms(500), ms(0));
+        reports.add("liar", &[report(0, 0, 900_000)], ms(1)).unwrap();
+        reports.add("a", &[report(0, 3, 0)], ms(1)).unwrap();
+        reports.add("b", &[report(0, 3, 1)], ms(1)).unwrap();
+        assert_eq!(reports.close_interval(ms(499)), None);
+        assert_eq!(reports.close_interval(ms(500)).unwrap().outcomes, [(0, true)]);
         // Again at once, and many times: nothing more.
-        assert_eq!(reports.take("liar", &[report(0, 0, 1)], ms(200)), Err(Disbelief::TooSoon));
-        assert_eq!(reports.close(ms(1000)).unwrap().outcomes, []);
+        assert_eq!(reports.add("liar", &[report(0, 0, 1)], ms(200)), Err(ReportError::TooSoon));
+        assert_eq!(reports.close_interval(ms(1000)).unwrap().outcomes, []);
     }
 
     #[test]
     fn what_can_not_be_true_is_refused_whole() {
-        let mut reports = Reports::new(ms(500), ms(0));
-        let fills =
-            |all, bad| HostReport { fills: vec![Fills { ds: 0, all, bad, out: 0 }], ..report(1, 5, 5) };
+        let mut reports = LoadReports::new(ms(500), ms(0));
+        let fills = |all, bad| HostReport {
+            fills: vec![FillCounts { ds: 0, total: all, late_or_failed: bad, in_flight: 0 }],
+            ..report(1, 5, 5)
+        };
         let late = HostReport { late: u64::MAX, ..report(1, 5, 5) };
         let counts = [fills(u64::MAX, 0.0), report(1, u64::MAX, 9), late];
         for absurd in [fills(3, f64::NAN), fills(3, -1.0), fills(3, 4.0)].into_iter().chain(counts) {
-            assert_eq!(reports.take("a", &[report(0, 0, 9), absurd], ms(1)), Err(Disbelief::Absurd));
+            assert_eq!(reports.add("a", &[report(0, 0, 9), absurd], ms(1)), Err(ReportError::OutOfRange));
         }
         let twice = [report(0, 0, 9), report(0, 0, 9)];
-        assert_eq!(reports.take("a", &twice, ms(1)), Err(Disbelief::Absurd));
-        assert_eq!(reports.close(ms(600)).unwrap(), Summary::default());
-        assert_eq!((reports.taken, reports.disbelieved), (0, 7));
+        assert_eq!(reports.add("a", &twice, ms(1)), Err(ReportError::OutOfRange));
+        assert_eq!(reports.close_interval(ms(600)).unwrap(), Summary::default());
+        assert_eq!((reports.accepted, reports.rejected), (0, 7));
     }
 
     #[test]
     fn made_up_names_are_bounded() {
-        let mut reports = Reports::new(ms(500), ms(0));
-        for n in 0..NODES_MOST {
-            reports.take(&format!("n{n}"), &[], ms(1)).unwrap();
+        let mut reports = LoadReports::new(ms(500), ms(0));
+        for n in 0..MAX_PROXIES {
+            reports.add(&format!("n{n}"), &[], ms(1)).unwrap();
         }
-        assert_eq!(reports.take("one more", &[], ms(1)), Err(Disbelief::Crowd));
-        reports.close(ms(9000));
-        reports.take("one more", &[], ms(9001)).unwrap();
+        assert_eq!(reports.add("one more", &[], ms(1)), Err(ReportError::TooManyProxies));
+        reports.close_interval(ms(9000));
+        reports.add("one more", &[], ms(9001)).unwrap();
     }
 }
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -1,23 +1,23 @@
 //! The published messages that carry our decisions, made and read in one place.
 
-use crate::shelf::Kind;
+use crate::resource_cache::ResourceType;
 use envoy_types::pb::envoy::config::cluster::v3 as cluster;
 use envoy_types::pb::envoy::config::core::v3 as core;
 use envoy_types::pb::envoy::config::endpoint::v3 as endpoint;
 use envoy_types::pb::envoy::config::route::v3 as route;
-use envoy_types::pb::google::protobuf::value::Kind as Of;
-use envoy_types::pb::google::protobuf::{Any, Duration as Span, Struct, UInt32Value, Value};
+use envoy_types::pb::google::protobuf::value::Kind as ProtoValue;
+use envoy_types::pb::google::protobuf::{Any, Duration as ProtoDuration, Struct, UInt32Value, Value};
 use myrtlegauge_zones::{Stage, Verdict};
 use prost::Message;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Under this name our part of an endpoint's metadata stands.
-pub const OURS: &str = "myrtlegauge";
+pub const METADATA_NAMESPACE: &str = "myrtlegauge";
 const STRUCT: &str = "type.googleapis.com/google.protobuf.Struct";
 /// The assignment whose hosts are resources of their own.
-pub const BY_HOST: &str = "caches-by-host";
-pub const ROUTES: &str = "gets";
+pub const BY_HOST_CLUSTER: &str = "caches-by-host";
+pub const ROUTE_TABLE: &str = "gets";
 
 /// What a host is to this location.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,7 +38,7 @@
         }
     }
 
-    pub fn of(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         TIERS.into_iter().find(|tier| tier.name() == name)
     }
 }
@@ -57,7 +57,7 @@
     /// Of its keys; 0: it takes none now.
     pub part: f64,
     pub near: bool,
-    /// Fills that one proxy may have out there.
+    /// FillCounts that one proxy may have out there.
     pub fills: u32,
 }
 
@@ -82,15 +82,15 @@
 }
 
 fn number(n: f64) -> Value {
-    Value { kind: Some(Of::NumberValue(n)) }
+    Value { kind: Some(ProtoValue::NumberValue(n)) }
 }
 
 fn text(text: String) -> Value {
-    Value { kind: Some(Of::StringValue(text)) }
+    Value { kind: Some(ProtoValue::StringValue(text)) }
 }
 
 fn yes(yes: bool) -> Value {
-    Value { kind: Some(Of::BoolValue(yes)) }
+    Value { kind: Some(ProtoValue::BoolValue(yes)) }
 }
 
 fn fields<const N: usize>(pairs: [(&str, Value); N]) -> Struct {
@@ -99,38 +99,34 @@
 
 fn told_number(fields: &Struct, name: &str) -> Option<f64> {
     match fields.fields.get(name)?.kind.as_ref()? {
-        Of::NumberValue(n) => Some(*n).filter(|n| n.is_finite() && *n >= 0.0),
+        ProtoValue::NumberValue(n) => Some(*n).filter(|n| n.is_finite() && *n >= 0.0),
         _ => None,
     }
 }
 
 fn told_text<'a>(fields: &'a Struct, name: &str) -> Option<&'a str> {
     match fields.fields.get(name)?.kind.as_ref()? {
-        Of::StringValue(text) => Some(text),
+        ProtoValue::StringValue(text) => Some(text),
         _ => None,
     }
 }
 
 fn told_flag(fields: &Struct, name: &str) -> Option<bool> {
     match fields.fields.get(name)?.kind.as_ref()? {
-        Of::BoolValue(yes) => Some(*yes),
+        ProtoValue::BoolValue(yes) => Some(*yes),
         _ => None,
     }
 }
 
-fn span(span: Duration) -> Span {
-    Span { seconds: span.as_secs() as i64, nanos: span.subsec_nanos() as i32 }
+pub fn encode_duration(duration: Duration) -> ProtoDuration {
+    ProtoDuration { seconds: duration.as_secs() as i64, nanos: duration.subsec_nanos() as i32 }
 }
 
-pub fn ttl(ttl: Duration) -> Span {
-    span(ttl)
+pub fn encode_any(resource_type: ResourceType, body: &[u8]) -> Any {
+    Any { type_url: resource_type.type_url().into(), value: body.to_vec() }
 }
 
-pub fn any(kind: Kind, body: &[u8]) -> Any {
-    Any { type_url: kind.url().into(), value: body.to_vec() }
-}
-
-pub fn address_of(address: SocketAddr) -> core::Address {
+pub fn encode_address(address: SocketAddr) -> core::Address {
     let socket = core::SocketAddress {
         address: address.ip().to_string(),
         port_specifier: Some(core::socket_address::PortSpecifier::PortValue(address.port().into())),
@@ -139,7 +135,7 @@
     core::Address { address: Some(core::address::Address::SocketAddress(socket)) }
 }
 
-pub fn told_address(address: &core::Address) -> Option<SocketAddr> {
+pub fn parse_address(address: &core::Address) -> Option<SocketAddr> {
     let core::address::Address::SocketAddress(socket) = address.address.as_ref()? else { return None };
     let core::socket_address::PortSpecifier::PortValue(port) = socket.port_specifier.as_ref()? else {
         return None;
@@ -153,11 +149,11 @@
     }
 
     /// All that it says, in a form that is the same wherever it is made.
-    pub fn canonical(&self) -> String {
+    pub fn version_text(&self) -> String {
         format!("{self:?}")
     }
 
-    pub fn message(&self) -> endpoint::LbEndpoint {
+    pub fn to_endpoint(&self) -> endpoint::LbEndpoint {
         let health = match (self.draining, self.part > 0.0) {
             (true, _) => core::HealthStatus::Draining,
             (false, true) => core::HealthStatus::Healthy,
@@ -165,7 +161,7 @@
         };
         // Those who know ring hashing alone spread keys by this; it is never zero, which the type does not allow.
         let weight = (self.points as f64 * self.part).ceil().max(1.0) as u32;
-        let ours = fields([
+        let fields_in = fields([
             ("host", text(self.name.clone())),
             ("tier", text(self.tier.name().into())),
             ("life", number(self.life as f64)),
@@ -176,39 +172,39 @@
             ("fills", number(self.fills.into())),
         ]);
         let ring = fields([("hash_key", text(format!("{:016x}", self.mark)))]);
-        let metadata = [(OURS.to_owned(), ours), ("envoy.lb".to_owned(), ring)].into();
+        let metadata = [(METADATA_NAMESPACE.to_owned(), fields_in), ("envoy.lb".to_owned(), ring)].into();
         endpoint::LbEndpoint {
             health_status: health.into(),
             metadata: Some(core::Metadata { filter_metadata: metadata, ..Default::default() }),
             load_balancing_weight: Some(UInt32Value { value: weight }),
             host_identifier: Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint::Endpoint {
-                address: Some(address_of(self.address)),
+                address: Some(encode_address(self.address)),
                 ..Default::default()
             })),
         }
     }
 
-    /// Reads one back; what is wrong with one that is not ours.
-    pub fn read(message: &endpoint::LbEndpoint) -> Result<Self, &'static str> {
+    /// Reads one back; what is wrong with one that is not fields_in.
+    pub fn from_endpoint(message: &endpoint::LbEndpoint) -> Result<Self, &'static str> {
         let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(at)) = &message.host_identifier else {
             return Err("an endpoint without an address");
         };
         let address =
-            at.address.as_ref().and_then(told_address).ok_or("an endpoint without an IP address")?;
-        let metadata = message.metadata.as_ref().and_then(|m| m.filter_metadata.get(OURS));
-        let ours = metadata.ok_or("an endpoint without our metadata")?;
-        let number = |name: &str| told_number(ours, name).ok_or("an endpoint's metadata lacks a number");
-        let text = |name: &str| told_text(ours, name).ok_or("an endpoint's metadata lacks a text");
+            at.address.as_ref().and_then(parse_address).ok_or("an endpoint without an IP address")?;
+        let metadata = message.metadata.as_ref().and_then(|m| m.filter_metadata.get(METADATA_NAMESPACE));
+        let fields_in = metadata.ok_or("an endpoint without our metadata")?;
+        let number = |name: &str| told_number(fields_in, name).ok_or("an endpoint's metadata lacks a number");
+        let text = |name: &str| told_text(fields_in, name).ok_or("an endpoint's metadata lacks a text");
         Ok(Self {
             name: text("host")?.to_owned(),
             address,
-            tier: Tier::of(text("tier")?).ok_or("an endpoint of no tier")?,
+            tier: Tier::from_name(text("tier")?).ok_or("an endpoint of no tier")?,
             life: number("life")? as u64,
             draining: message.health_status == core::HealthStatus::Draining as i32,
             mark: u64::from_str_radix(text("mark")?, 16).map_err(|_| "an endpoint's mark is no number")?,
             points: (number("points")? as u64).min(1 << 16),
             part: number("part")?.min(1.0),
-            near: told_flag(ours, "near").unwrap_or(true),
+            near: told_flag(fields_in, "near").unwrap_or(true),
             fills: number("fills")? as u32,
         })
     }
@@ -223,7 +219,7 @@
 }
 
 /// Reads the fields of a notice.
-pub fn read_notice(body: &[u8]) -> Result<(String, Struct), &'static str> {
+pub fn decode_notice(body: &[u8]) -> Result<(String, Struct), &'static str> {
     let read = core::TypedExtensionConfig::decode(body).map_err(|_| "a notice that can't be read")?;
     let held = read.typed_config.filter(|any| any.type_url == STRUCT).ok_or("a notice of an unknown form")?;
     let fields = Struct::decode(&*held.value).map_err(|_| "a notice whose fields can't be read")?;
@@ -231,12 +227,12 @@
 }
 
 impl PurgeLine {
-    pub fn body(&self, name: &str) -> Vec<u8> {
+    pub fn encode_notice(&self, name: &str) -> Vec<u8> {
         let at = ("at_unix_ms", number(self.at_unix_ms as f64));
         notice(name, fields([at, ("until_unix_ms", number(self.until_unix_ms as f64))]))
     }
 
-    pub fn read(fields: &Struct) -> Result<Self, &'static str> {
+    pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let number = |name: &str| told_number(fields, name).ok_or("a purge lacks a time");
         Ok(Self { at_unix_ms: number("at_unix_ms")? as u64, until_unix_ms: number("until_unix_ms")? as u64 })
     }
@@ -244,7 +240,7 @@
 
 /// A zone's verdict as dispatchers are told of it, and as they tell what they hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneLine {
+pub struct ZoneNotice {
     pub epoch: u64,
     pub stage: Stage,
     pub part: f64,
@@ -260,16 +256,16 @@
     (Stage::Returning, "returning"),
 ];
 
-pub fn zone_name(zone: &str) -> String {
+pub fn zone_resource_name(zone: &str) -> String {
     format!("zone/{zone}")
 }
 
-pub fn zone_named(name: &str) -> Option<&str> {
+pub fn parse_zone_resource_name(name: &str) -> Option<&str> {
     name.strip_prefix("zone/")
 }
 
-impl ZoneLine {
-    pub fn of(verdict: &Verdict, from_unix_ms: u64) -> Self {
+impl ZoneNotice {
+    pub fn from_verdict(verdict: &Verdict, from_unix_ms: u64) -> Self {
         let Verdict { epoch, stage, part, sheds, .. } = *verdict;
         Self { epoch, stage, part, sheds, from_unix_ms }
     }
@@ -290,11 +286,11 @@
         ])
     }
 
-    pub fn body(&self, name: &str) -> Vec<u8> {
+    pub fn encode_notice(&self, name: &str) -> Vec<u8> {
         notice(name, self.fields())
     }
 
-    pub fn read(fields: &Struct) -> Result<Self, &'static str> {
+    pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let number = |name: &str| told_number(fields, name).ok_or("a zone's verdict lacks a number");
         let stage = told_text(fields, "stage").ok_or("a zone's verdict lacks its stage")?;
         let stage = STAGES.iter().find(|(_, name)| *name == stage).ok_or("a zone's stage is not known")?;
@@ -309,35 +305,36 @@
 }
 
 /// A host's name beside its load, where it is reached by other addresses than the list tells.
-pub fn host_said(name: &str) -> Struct {
+pub fn host_metadata(name: &str) -> Struct {
     fields([("host", text(name.to_owned()))])
 }
 
-pub fn host_told(metadata: &Struct) -> Option<&str> {
+pub fn host_name_from_metadata(metadata: &Struct) -> Option<&str> {
     told_text(metadata, "host")
 }
 
 /// GETs that a dispatcher took since its last report, by its node's metadata.
-pub fn taken(metadata: &Struct) -> u64 {
+pub fn gets_taken(metadata: &Struct) -> u64 {
     told_number(metadata, "taken").unwrap_or(0.0) as u64
 }
 
 /// What a dispatcher holds of zones and how many GETs it took, as a node's metadata.
-pub fn zones_held<'a>(held: impl Iterator<Item = (&'a str, ZoneLine)>, taken: u64) -> Struct {
-    let fields =
-        held.map(|(zone, line)| (zone_name(zone), Value { kind: Some(Of::StructValue(line.fields())) }));
+pub fn held_verdicts_metadata<'a>(held: impl Iterator<Item = (&'a str, ZoneNotice)>, taken: u64) -> Struct {
+    let fields = held.map(|(zone, line)| {
+        (zone_resource_name(zone), Value { kind: Some(ProtoValue::StructValue(line.fields())) })
+    });
     Struct { fields: fields.chain([("taken".to_owned(), number(taken as f64))]).collect() }
 }
 
-pub fn zone_held(metadata: &Struct, zone: &str) -> Option<ZoneLine> {
-    match metadata.fields.get(&zone_name(zone))?.kind.as_ref()? {
-        Of::StructValue(fields) => ZoneLine::read(fields).ok(),
+pub fn held_verdict(metadata: &Struct, zone: &str) -> Option<ZoneNotice> {
+    match metadata.fields.get(&zone_resource_name(zone))?.kind.as_ref()? {
+        ProtoValue::StructValue(fields) => ZoneNotice::from_fields(fields).ok(),
         _ => None,
     }
 }
 
 impl TermsLine {
-    pub fn body(&self, name: &str) -> Vec<u8> {
+    pub fn encode_notice(&self, name: &str) -> Vec<u8> {
         notice(
             name,
             fields([
@@ -352,7 +349,7 @@
         )
     }
 
-    pub fn read(fields: &Struct) -> Result<Self, &'static str> {
+    pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let span = |name: &str| {
             let ms = told_number(fields, name).ok_or("a service's terms lack a time")?;
             Duration::try_from_secs_f64(ms / 1e3).map_err(|_| "a service's terms have no time")
@@ -389,7 +386,7 @@
             eds_config: Some(ads()),
             service_name: name.to_owned(),
         }),
-        connect_timeout: Some(span(connect)),
+        connect_timeout: Some(encode_duration(connect)),
         lb_policy: cluster::cluster::LbPolicy::RingHash.into(),
         ..Default::default()
     }
@@ -398,7 +395,7 @@
 
 /// The hosts of a tier; or, for those who take hosts one by one, where they are.
 pub fn assignment_body(name: &str, lines: &[&HostLine]) -> Vec<u8> {
-    let locality = if name == BY_HOST {
+    let locality = if name == BY_HOST_CLUSTER {
         endpoint::LocalityLbEndpoints {
             lb_config: Some(endpoint::locality_lb_endpoints::LbConfig::LedsClusterLocalityConfig(
                 endpoint::LedsClusterLocalityConfig {
@@ -410,7 +407,7 @@
         }
     } else {
         endpoint::LocalityLbEndpoints {
-            lb_endpoints: lines.iter().map(|line| line.message()).collect(),
+            lb_endpoints: lines.iter().map(|line| line.to_endpoint()).collect(),
             ..Default::default()
         }
     };
@@ -456,7 +453,7 @@
         let action = route::RouteAction {
             cluster_specifier: Some(route::route_action::ClusterSpecifier::Cluster("caches".into())),
             hash_policy: vec![header("resource-key"), header("x-chunk")],
-            timeout: Some(span(line.timeout)),
+            timeout: Some(encode_duration(line.timeout)),
             retry_policy: Some(retry),
             ..Default::default()
         };
@@ -469,9 +466,9 @@
         }
     });
     route::RouteConfiguration {
-        name: ROUTES.into(),
+        name: ROUTE_TABLE.into(),
         virtual_hosts: vec![route::VirtualHost {
-            name: ROUTES.into(),
+            name: ROUTE_TABLE.into(),
             domains: vec!["*".into()],
             routes: routes.collect(),
             ..Default::default()
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,12 +1,12 @@
-//! The control service's loop: the change log, signals and what gRPC heard come in; what the exchange has goes out.
+//! The control service's loop: the change log, signals and what gRPC heard come in; what the server has goes out.
 
-use crate::exchange::{Exchange, LANES, Lane, Refusal, StreamId};
+use crate::ads_server::{AdsServer, PRIORITIES, Priority, StreamEndReason, StreamId};
 use crate::fleet::Fleet;
-use crate::grpc::{self, Heard, Out, ROOM, Ticket};
+use crate::grpc::{self, GrpcStreamId, OUTBOX_CAPACITY, ResponseSender, ServiceEvent};
 use crate::lease::Lease;
-use crate::reports::{Fills, HostReport, Reports, fills_of};
-use crate::zoning::{self, Zoning};
-use crate::{messages, shown};
+use crate::load_reports::{FillCounts, HostReport, LoadReports, sum_fills};
+use crate::zoning::{self, ZoneController};
+use crate::{client_status, messages};
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, LoopHandle, channel};
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
@@ -43,9 +43,9 @@
 #[derive(Clone, Copy)]
 pub struct ChangeLog;
 
-struct Port {
+struct ConnectedProxy {
     stream: StreamId,
-    out: Out,
+    out: ResponseSender,
 }
 
 /// What is counted, for operators.
@@ -58,7 +58,7 @@
     pub events: u64,
     pub polls_lost: u64,
     pub logs_anew: u64,
-    pub pushes: [u64; LANES.len()],
+    pub pushes: [u64; PRIORITIES.len()],
     pub turns: u64,
     pub turn_longest_us: u64,
 }
@@ -66,9 +66,9 @@
 pub struct Service {
     name: String,
     fleet: Fleet,
-    exchange: Exchange,
-    reports: Reports,
-    zones: Option<Zoning>,
+    server: AdsServer,
+    reports: LoadReports,
+    zones: Option<ZoneController>,
     feed: Option<ChangeLogClient<Service>>,
     feed_stirred: bool,
     /// The number and the content of the last event that was taken.
@@ -76,9 +76,9 @@
     hub: LoopHandle<'static, Self>,
     accounts: Rc<ResourceUsage>,
     shared: Vec<u8>,
-    heard: Vec<Heard>,
-    showing: VecDeque<(oneshot::Sender<Result<ClientStatusResponse, String>>, shown::Showing)>,
-    ports: BTreeMap<Ticket, Port>,
+    heard: Vec<ServiceEvent>,
+    showing: VecDeque<(oneshot::Sender<Result<ClientStatusResponse, String>>, client_status::StatusBuilder)>,
+    ports: BTreeMap<GrpcStreamId, ConnectedProxy>,
     now: Duration,
     look_at: Duration,
     blocked: bool,
@@ -138,13 +138,13 @@
     fn new(hub: LoopHandle<'static, Self>, file: &OperatorFile, control: &Control) -> Result<Self, String> {
         let clock = Clock::start();
         let now = clock.now();
-        let lease = Lease::of(control.drain_grace, control.purge_grace, control.clock_error);
+        let lease = Lease::from_grace_periods(control.drain_grace, control.purge_grace, control.clock_error);
         let mut service = Self {
             name: control.name.clone(),
             fleet: Fleet::new(&file.facts, fastrand::u64(..), clock)?,
-            exchange: Exchange::new(lease, control.most_proxies),
-            reports: Reports::new(control.reports_every, now),
-            zones: Zoning::of(file, control.reports_every, now),
+            server: AdsServer::new(lease, control.most_proxies),
+            reports: LoadReports::new(control.reports_every, now),
+            zones: ZoneController::from_file(file, control.reports_every, now),
             feed: control.change_log.map(|address| ChangeLogClient::new(address, ChangeLog).with_overlap()),
             feed_stirred: false,
             last_event: (0, 0),
@@ -164,8 +164,8 @@
             done: false,
         };
         if service.feed.is_none() {
-            service.fleet.listed_in_file(&file.hosts, now);
-            service.exchange.begin();
+            service.fleet.load_file_hosts(&file.hosts, now);
+            service.server.set_ready();
         }
         Ok(service)
     }
@@ -187,7 +187,7 @@
             Ok(file) => {
                 log::info!(hosts = file.hosts.len(); "read anew");
                 self.now = self.fleet.clock().now();
-                self.fleet.listed_in_file(&file.hosts, self.now);
+                self.fleet.load_file_hosts(&file.hosts, self.now);
                 self.changed = true;
             }
         }
@@ -195,7 +195,8 @@
 
     fn patience(&self) -> Duration {
         let feed = self.feed.as_ref().map_or(Duration::MAX, |feed| feed.deadline);
-        let mut due = self.look_at.min(self.exchange.due(self.now)).min(self.reports.due()).min(feed);
+        let mut due =
+            self.look_at.min(self.server.next_deadline(self.now)).min(self.reports.deadline()).min(feed);
         if self.blocked {
             due = due.min(self.now + BLOCKED);
         }
@@ -211,30 +212,30 @@
         for heard in std::mem::take(&mut self.heard) {
             self.hear(heard);
         }
-        if let Some(summary) = self.reports.close(self.now) {
-            self.fleet.reported(&summary, self.now);
+        if let Some(summary) = self.reports.close_interval(self.now) {
+            self.fleet.on_load_summary(&summary, self.now);
             self.changed |= !summary.outcomes.is_empty() || !summary.fills.is_empty();
         }
         if self.now >= self.look_at {
-            self.fleet.tend(self.now);
+            self.fleet.on_timer(self.now);
             self.look_at_zones();
             (self.look_at, self.changed) = (self.now + LOOK_EVERY, true);
         }
         if std::mem::take(&mut self.changed) {
-            self.fleet.publish(&mut self.exchange, self.ports.len(), self.now, unix_ms());
+            self.fleet.publish(&mut self.server, self.ports.len(), self.now, unix_ms());
             if let Some(zones) = &self.zones {
-                zones.publish(&mut self.exchange, self.now, unix_ms());
+                zones.publish(&mut self.server, self.now, unix_ms());
             }
         }
-        let stuck = self.exchange.turn(self.now);
-        self.end(&stuck, &Refusal::Stuck);
+        let stuck = self.server.advance(self.now);
+        self.end(&stuck, &StreamEndReason::AckTimeout);
         self.push();
         if let Some((_, showing)) = self.showing.front_mut()
-            && let Some(whole) = showing.go_on(&self.exchange, self.now)
+            && let Some(whole) = showing.advance(&self.server, self.now)
             && let Some((reply, _)) = self.showing.pop_front()
         {
             let mut whole = whole;
-            let zones = self.zones.as_ref().map(|zones| zones.shown(self.now));
+            let zones = self.zones.as_ref().map(|zones| zones.statuses(self.now));
             whole.config.extend(zones.into_iter().flatten());
             let _ = reply.send(Ok(whole));
         }
@@ -247,8 +248,8 @@
     fn look_at_zones(&mut self) {
         let Some(zones) = &mut self.zones else { return };
         self.changed |= zones.tick(self.now);
-        let parts: Vec<_> = zones.parts(self.now).collect();
-        self.fleet.hold_back(&parts, self.now);
+        let parts: Vec<_> = zones.key_fractions(self.now).collect();
+        self.fleet.withhold(&parts, self.now);
     }
 
     /// The change log's answers.
@@ -310,14 +311,14 @@
             self.changed = true;
             self.last_event = (change.seq, said(change));
             if let Some(fleet) = &change.fleet {
-                self.fleet.listed(&fleet.endpoints, fleet.snapshot, self.now);
+                self.fleet.on_host_list(&fleet.endpoints, fleet.snapshot, self.now);
                 // Nothing is said before the first whole list: it would be taken for all there is.
                 if fleet.snapshot {
-                    self.exchange.begin();
+                    self.server.set_ready();
                 }
             }
             if let Some(purge) = &change.invalidate {
-                self.fleet.purged(purge, self.now);
+                self.fleet.on_purge(purge, self.now);
             }
         }
         if feed.last_seq == before {
@@ -325,75 +326,77 @@
         }
     }
 
-    fn hear(&mut self, heard: Heard) {
+    fn hear(&mut self, heard: ServiceEvent) {
         match heard {
-            Heard::Opened { ticket, peer, out } => match self.exchange.open(out.form(), &peer, self.now) {
-                Ok(stream) => {
-                    self.counters.opened += 1;
-                    log::debug!(peer, form:? = out.form(); "a proxy's stream begins");
-                    self.ports.insert(ticket, Port { stream, out });
-                }
-                Err(refusal) => {
-                    self.counters.turned_away += 1;
-                    self.fault(&refusal.to_string());
-                    out.end(Status::resource_exhausted(refusal.to_string()));
+            ServiceEvent::Opened { ticket, peer, out } => {
+                match self.server.open_stream(out.variant(), &peer, self.now) {
+                    Ok(stream) => {
+                        self.counters.opened += 1;
+                        log::debug!(peer, form:? = out.variant(); "a proxy's stream begins");
+                        self.ports.insert(ticket, ConnectedProxy { stream, out });
+                    }
+                    Err(refusal) => {
+                        self.counters.turned_away += 1;
+                        self.fault(&refusal.to_string());
+                        out.end(Status::resource_exhausted(refusal.to_string()));
+                    }
                 }
-            },
-            Heard::Asked { ticket, node, request, permit } => {
+            }
+            ServiceEvent::Requested { ticket, node, request, permit } => {
                 let Some(port) = self.ports.get(&ticket) else { return };
                 self.counters.requests += 1;
                 let stream = port.stream;
                 if !node.is_empty() {
-                    self.exchange.named(stream, &node);
+                    self.server.set_node(stream, &node);
                 }
-                if let Some(why) = &request.error {
-                    self.fault(&format!("a proxy refuses what it was sent of {}: {why}", request.url));
+                if let Some(why) = &request.error_detail {
+                    self.fault(&format!("a proxy refuses what it was sent of {}: {why}", request.type_url));
                 }
-                if let Err(refusal) = self.exchange.heard(stream, &request, self.now) {
+                if let Err(refusal) = self.server.on_request(stream, &request, self.now) {
                     self.end(&[stream], &refusal);
                 }
                 drop(permit);
             }
-            Heard::Closed { ticket } => {
+            ServiceEvent::Closed { ticket } => {
                 if let Some(port) = self.ports.remove(&ticket) {
                     self.counters.closed += 1;
-                    self.exchange.close(port.stream);
+                    self.server.close_stream(port.stream);
                 }
             }
-            Heard::Reported { report, permit } => {
+            ServiceEvent::Reported { report, permit } => {
                 self.reported(&report);
                 drop(permit);
             }
-            Heard::Shown { order: Some((zone, order)), reply } => {
+            ServiceEvent::StatusRequested { order: Some((zone, order)), reply } => {
                 let none = || Err("this service decides of no zones".to_owned());
                 let now = self.now;
                 let done = self.zones.as_mut().map_or_else(none, |zones| zones.order(&zone, &order, now));
                 match done {
                     Ok(()) => {
                         self.look_at_zones();
-                        self.showing.push_back((reply, shown::Showing::default()));
+                        self.showing.push_back((reply, client_status::StatusBuilder::default()));
                     }
                     Err(why) => drop(reply.send(Err(why))),
                 }
             }
-            Heard::Shown { order: None, reply } => {
+            ServiceEvent::StatusRequested { order: None, reply } => {
                 // Who asks too often is told that it can't be had, as its answer's end.
                 if self.showing.len() < SHOWING_MOST {
-                    self.showing.push_back((reply, shown::Showing::default()));
+                    self.showing.push_back((reply, client_status::StatusBuilder::default()));
                 }
             }
         }
     }
 
     /// Ends streams for a reason that their proxies are told.
-    fn end(&mut self, streams: &[StreamId], why: &Refusal) {
+    fn end(&mut self, streams: &[StreamId], why: &StreamEndReason) {
         let ended: BTreeSet<_> = streams.iter().collect();
         let over: Vec<_> = self.ports.extract_if(.., |_, port| ended.contains(&port.stream)).collect();
         for (_, port) in over {
             self.counters.closed += 1;
             self.fault(&why.to_string());
             port.out.end(Status::resource_exhausted(why.to_string()));
-            self.exchange.close(port.stream);
+            self.server.close_stream(port.stream);
         }
     }
 
@@ -401,20 +404,21 @@
     fn push(&mut self) {
         self.blocked = false;
         let unix_ms = unix_ms();
-        for (lane, pushed) in LANES.into_iter().zip(&mut self.counters.pushes) {
+        for (priority, pushed) in PRIORITIES.into_iter().zip(&mut self.counters.pushes) {
             // What is handed over can't be overtaken: little that is ordinary, and some room for what is urgent.
-            let wanted = match lane {
-                Lane::Urgent => 1,
-                Lane::Beat => 2,
-                Lane::Ordinary => ROOM,
+            let wanted = match priority {
+                Priority::Urgent => 1,
+                Priority::Heartbeat => 2,
+                Priority::Ordinary => OUTBOX_CAPACITY,
             };
             for port in self.ports.values() {
                 for _ in 0..TURN_MOST {
                     if port.out.room() < wanted {
-                        self.blocked |= lane == Lane::Urgent || !self.exchange.is_quiet(port.stream);
+                        self.blocked |= priority == Priority::Urgent || !self.server.is_idle(port.stream);
                         break;
                     }
-                    let Some(message) = self.exchange.next(port.stream, lane, self.now, unix_ms) else {
+                    let Some(message) = self.server.next_message(port.stream, priority, self.now, unix_ms)
+                    else {
                         break;
                     };
                     port.out.send(message, &self.name);
@@ -430,10 +434,11 @@
         let localities = told.cluster_stats.iter().flat_map(|cluster| &cluster.upstream_locality_stats);
         let mut hosts = Vec::new();
         for stats in localities.flat_map(|locality| &locality.upstream_endpoint_stats) {
-            let address = stats.address.as_ref().and_then(messages::told_address);
+            let address = stats.address.as_ref().and_then(messages::parse_address);
             // Of a host that is not known, or no more, nothing is to be learnt.
-            let named = stats.metadata.as_ref().and_then(messages::host_told);
-            let host = named.map_or_else(|| self.fleet.at(address?), |name| self.fleet.named(name));
+            let named = stats.metadata.as_ref().and_then(messages::host_name_from_metadata);
+            let host = named
+                .map_or_else(|| self.fleet.host_by_address(address?), |name| self.fleet.host_by_name(name));
             let Some(host) = host else { continue };
             let mut report = HostReport {
                 host,
@@ -446,40 +451,40 @@
                     report.late = metric.num_requests_finished_with_metric;
                 }
                 let Some((what, service)) = metric.metric_name.split_once('/') else { continue };
-                let Some(ds) = self.fleet.service(service) else { continue };
+                let Some(ds) = self.fleet.service_index(service) else { continue };
                 let at = report.fills.iter().position(|fills| fills.ds == ds).unwrap_or_else(|| {
-                    report.fills.push(Fills { ds, ..Fills::default() });
+                    report.fills.push(FillCounts { ds, ..FillCounts::default() });
                     report.fills.len() - 1
                 });
                 let fills = &mut report.fills[at];
                 match what {
                     "fills" => {
-                        (fills.all, fills.bad) =
+                        (fills.total, fills.late_or_failed) =
                             (metric.num_requests_finished_with_metric, metric.total_metric_value);
                     }
-                    "fills-out" => fills.out = metric.num_requests_finished_with_metric,
+                    "fills-out" => fills.in_flight = metric.num_requests_finished_with_metric,
                     _ => {}
                 }
             }
             hosts.push(report);
         }
-        if let Err(disbelief) = self.reports.take(node, &hosts, self.now) {
+        if let Err(disbelief) = self.reports.add(node, &hosts, self.now) {
             return self.fault(&format!("a load report of {node:?} is not believed: {disbelief}"));
         }
         // Only now are the numbers bounded, and may be added up.
         if let Some(zones) = &mut self.zones {
             let seen: Vec<_> = hosts
                 .iter()
-                .map(|&HostReport { host, returned, errored, late, .. }| zoning::Told {
-                    zone: self.fleet.zone(host),
+                .map(|&HostReport { host, returned, errored, late, .. }| zoning::HostOutcomes {
+                    zone: self.fleet.zone_of(host),
                     returned,
                     errored,
                     late,
                 })
                 .collect();
             let held = told.node.as_ref().and_then(|node| node.metadata.as_ref());
-            let taken = held.map_or(0, messages::taken);
-            zones.reported(node, &seen, taken, fills_of(&hosts), held, self.now);
+            let taken = held.map_or(0, messages::gets_taken);
+            zones.on_report(node, &seen, taken, sum_fills(&hosts), held, self.now);
         }
     }
 
@@ -500,7 +505,7 @@
         log::info!(opened, closed, turned_away, open = self.ports.len(), requests; "streams");
         log::info!(urgent, beats, ordinary; "messages");
         log::info!(events, polls_lost, logs_anew, hosts = self.fleet.len(), faults = self.fleet.faults; "change log");
-        log::info!(taken = self.reports.taken, disbelieved = self.reports.disbelieved; "reports");
+        log::info!(taken = self.reports.accepted, disbelieved = self.reports.rejected; "reports");
         log::info!(turns, turn_longest_us; "loop");
     }
 }
--- a/crates/control/src/inbound.rs
+++ b/crates/control/src/session.rs
@@ -1,8 +1,8 @@
 //! What a follower reads off the published streams, and what it answers.
 
-use crate::exchange::Form;
-use crate::follower::{Follower, subscriptions, written_at};
-use crate::shelf::Kind;
+use crate::ads_server::ProtocolVariant;
+use crate::follower::{Follower, nonce_unix_ms, subscriptions};
+use crate::resource_cache::ResourceType;
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::{
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Resource,
@@ -17,17 +17,17 @@
 
 /// A response of either form.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
-    pub kind: Option<Kind>,
-    pub url: String,
+pub struct Response {
+    pub resource_type: Option<ResourceType>,
+    pub type_url: String,
     pub version: String,
     pub nonce: String,
-    pub resources: Vec<ToldResource>,
+    pub resources: Vec<ReceivedResource>,
     pub removed: Vec<String>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct ToldResource {
+pub struct ReceivedResource {
     pub name: String,
     pub version: String,
     /// None: the time to live alone.
@@ -35,25 +35,25 @@
     pub ttl: Option<Duration>,
 }
 
-fn wrapped(resource: Resource) -> ToldResource {
+fn wrapped(resource: Resource) -> ReceivedResource {
     let ttl = resource.ttl.map(|ttl| {
         Duration::new(ttl.seconds.try_into().unwrap_or(0), ttl.nanos.clamp(0, 999_999_999) as u32)
     });
     let body = resource.resource.map(|any| any.value);
-    ToldResource { name: resource.name, version: resource.version, body, ttl }
+    ReceivedResource { name: resource.name, version: resource.version, body, ttl }
 }
 
-impl From<DiscoveryResponse> for Told {
+impl From<DiscoveryResponse> for Response {
     fn from(response: DiscoveryResponse) -> Self {
         let resources = response.resources.into_iter().map(|any| {
             if any.type_url != Resource::type_url() {
-                return ToldResource { body: Some(any.value), ..ToldResource::default() };
+                return ReceivedResource { body: Some(any.value), ..ReceivedResource::default() };
             }
             Resource::decode(&*any.value).map(wrapped).unwrap_or_default()
         });
         Self {
-            kind: Kind::of(&response.type_url),
-            url: response.type_url,
+            resource_type: ResourceType::from_type_url(&response.type_url),
+            type_url: response.type_url,
             version: response.version_info,
             nonce: response.nonce,
             resources: resources.collect(),
@@ -62,11 +62,11 @@
     }
 }
 
-impl From<DeltaDiscoveryResponse> for Told {
+impl From<DeltaDiscoveryResponse> for Response {
     fn from(response: DeltaDiscoveryResponse) -> Self {
         Self {
-            kind: Kind::of(&response.type_url),
-            url: response.type_url,
+            resource_type: ResourceType::from_type_url(&response.type_url),
+            type_url: response.type_url,
             version: String::new(),
             nonce: response.nonce,
             resources: response.resources.into_iter().map(wrapped).collect(),
@@ -78,26 +78,26 @@
 /// A follower with what it must remember of its streams.
 pub struct Session {
     pub follower: Follower,
-    form: Form,
+    variant: ProtocolVariant,
     node: String,
     /// What a new stream is told that it holds.
-    holds: BTreeMap<(Kind, String), String>,
-    accepted: BTreeMap<Kind, String>,
+    holds: BTreeMap<(ResourceType, String), String>,
+    accepted: BTreeMap<ResourceType, String>,
 }
 
 impl Session {
-    pub fn new(form: Form, node: &str) -> Self {
+    pub fn new(variant: ProtocolVariant, node: &str) -> Self {
         Self {
             follower: Follower::default(),
-            form,
+            variant,
             node: node.to_owned(),
             holds: BTreeMap::new(),
             accepted: BTreeMap::new(),
         }
     }
 
-    pub fn form(&self) -> Form {
-        self.form
+    pub fn variant(&self) -> ProtocolVariant {
+        self.variant
     }
 
     fn node(&self) -> Option<Node> {
@@ -105,23 +105,25 @@
     }
 
     /// The first requests of a new stream.
-    pub fn begin_whole(&self) -> Vec<DiscoveryRequest> {
-        let asked = subscriptions(Form::Whole).into_iter().map(|(kind, names)| DiscoveryRequest {
-            version_info: self.accepted.get(&kind).cloned().unwrap_or_default(),
-            node: self.node(),
-            resource_names: names.iter().map(|name| (*name).to_owned()).collect(),
-            type_url: kind.url().into(),
-            ..Default::default()
+    pub fn initial_whole_requests(&self) -> Vec<DiscoveryRequest> {
+        let asked = subscriptions(ProtocolVariant::Whole).into_iter().map(|(resource_type, names)| {
+            DiscoveryRequest {
+                version_info: self.accepted.get(&resource_type).cloned().unwrap_or_default(),
+                node: self.node(),
+                resource_names: names.iter().map(|name| (*name).to_owned()).collect(),
+                type_url: resource_type.type_url().into(),
+                ..Default::default()
+            }
         });
         asked.collect()
     }
 
-    pub fn begin_delta(&self) -> Vec<DeltaDiscoveryRequest> {
-        let asked = subscriptions(Form::Delta).into_iter().map(|(kind, names)| {
-            let held = self.holds.iter().filter(|((of, _), _)| *of == kind);
+    pub fn initial_delta_requests(&self) -> Vec<DeltaDiscoveryRequest> {
+        let asked = subscriptions(ProtocolVariant::Delta).into_iter().map(|(resource_type, names)| {
+            let held = self.holds.iter().filter(|((of, _), _)| *of == resource_type);
             DeltaDiscoveryRequest {
                 node: self.node(),
-                type_url: kind.url().into(),
+                type_url: resource_type.type_url().into(),
                 resource_names_subscribe: names.iter().map(|name| (*name).to_owned()).collect(),
                 initial_resource_versions: held.map(|((_, name), v)| (name.clone(), v.clone())).collect(),
                 ..Default::default()
@@ -132,53 +134,60 @@
 
     /// Takes a response; why it is refused, if it is. What could be used of one that is refused stays: a drain or a purge
     /// beside what can't be read is not lost.
-    pub fn take(&mut self, told: &Told, now_ms: u64) -> Result<(), String> {
-        let Some(kind) = told.kind else { return Err(format!("{} is not a type known here", told.url)) };
+    pub fn apply(&mut self, response: &Response, now_ms: u64) -> Result<(), String> {
+        let Some(resource_type) = response.resource_type else {
+            return Err(format!("{} is not a type known here", response.type_url));
+        };
         let mut refused = Ok(());
-        for resource in &told.resources {
+        for resource in &response.resources {
             if let Some(body) = &resource.body {
-                match self.follower.take(kind, &resource.name, body, now_ms) {
+                match self.follower.apply(resource_type, &resource.name, body, now_ms) {
                     Ok(()) => {
-                        let name = (kind, resource.name.clone());
+                        let name = (resource_type, resource.name.clone());
                         self.holds.insert(name, resource.version.clone());
                     }
                     Err(why) => refused = Err(format!("{}: {why}", resource.name)),
                 }
             }
         }
-        for name in &told.removed {
-            self.follower.removed(kind, name, now_ms);
-            self.holds.remove(&(kind, name.clone()));
+        for name in &response.removed {
+            self.follower.remove(resource_type, name, now_ms);
+            self.holds.remove(&(resource_type, name.clone()));
         }
         if refused.is_ok() {
-            self.accepted.insert(kind, told.version.clone());
+            self.accepted.insert(resource_type, response.version.clone());
             // The lease vouches for what was taken; one that came with what was refused vouches for nothing.
-            let ttl = told.resources.iter().filter_map(|resource| resource.ttl).max();
-            if let (Some(ttl), Some(written)) = (ttl, written_at(&told.nonce)) {
-                self.follower.leased(ttl, written, now_ms);
+            let ttl = response.resources.iter().filter_map(|resource| resource.ttl).max();
+            if let (Some(ttl), Some(written)) = (ttl, nonce_unix_ms(&response.nonce)) {
+                self.follower.extend_lease(ttl, written, now_ms);
             }
         }
         refused
     }
 
     /// The answer to a response.
-    pub fn answer_whole(&self, told: &Told, refused: Option<String>) -> DiscoveryRequest {
-        let names = subscriptions(Form::Whole).into_iter().find(|(kind, _)| Some(*kind) == told.kind);
+    pub fn acknowledge_whole(&self, response: &Response, refused: Option<String>) -> DiscoveryRequest {
+        let names = subscriptions(ProtocolVariant::Whole)
+            .into_iter()
+            .find(|(resource_type, _)| Some(*resource_type) == response.resource_type);
         let names = names.map(|(_, names)| names).unwrap_or_default();
         DiscoveryRequest {
-            version_info: told.kind.and_then(|kind| self.accepted.get(&kind).cloned()).unwrap_or_default(),
+            version_info: response
+                .resource_type
+                .and_then(|resource_type| self.accepted.get(&resource_type).cloned())
+                .unwrap_or_default(),
             resource_names: names.iter().map(|name| (*name).to_owned()).collect(),
-            type_url: told.url.clone(),
-            response_nonce: told.nonce.clone(),
+            type_url: response.type_url.clone(),
+            response_nonce: response.nonce.clone(),
             error_detail: refused.map(|message| Status { code: INVALID, message, ..Default::default() }),
             ..Default::default()
         }
     }
 
-    pub fn answer_delta(&self, told: &Told, refused: Option<String>) -> DeltaDiscoveryRequest {
+    pub fn acknowledge_delta(&self, response: &Response, refused: Option<String>) -> DeltaDiscoveryRequest {
         DeltaDiscoveryRequest {
-            type_url: told.url.clone(),
-            response_nonce: told.nonce.clone(),
+            type_url: response.type_url.clone(),
+            response_nonce: response.nonce.clone(),
             error_detail: refused.map(|message| Status { code: INVALID, message, ..Default::default() }),
             ..Default::default()
         }
--- a/crates/control/src/zoning.rs
+++ b/crates/control/src/zoning.rs
@@ -1,10 +1,10 @@
 //! The fleet's verdicts on zones in a control service: evidence out of load reports, verdicts as notices, what operators are
 //! shown and order. What is decided is decided in `myrtlegauge_zones`.
 
-use crate::exchange::Exchange;
-use crate::messages::{self, ZoneLine};
-use crate::shelf::{Kind, Resource, Version};
-use crate::shown::{number, text};
+use crate::ads_server::AdsServer;
+use crate::client_status::{number, text};
+use crate::messages::{self, ZoneNotice};
+use crate::resource_cache::{Resource, ResourceType, Version};
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::status::v3::ClientConfig;
 use envoy_types::pb::google::protobuf::Struct;
@@ -14,22 +14,22 @@
 
 /// What a report says of one host: its zone, GETs returned, those that failed, those late.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct HostOutcomes {
     pub zone: usize,
     pub returned: u64,
     pub errored: u64,
     pub late: u64,
 }
 
-pub struct Zoning {
+pub struct ZoneController {
     core: Fleet,
     /// The footprint's numbers of the zones.
     numbers: Vec<usize>,
 }
 
-impl Zoning {
+impl ZoneController {
     /// Where the file asks for it.
-    pub fn of(file: &OperatorFile, reports_every: Duration, now: Duration) -> Option<Self> {
+    pub fn from_file(file: &OperatorFile, reports_every: Duration, now: Duration) -> Option<Self> {
         let told = file.control.as_ref()?.zones?;
         let zones: Vec<_> = file.zones.iter().map(|zone| (zone.name.clone(), zone.bears)).collect();
         let start = |name: &str| file.facts.get("obligations").and_then(|o| o.get(name)?.as_f64());
@@ -47,10 +47,10 @@
     }
 
     /// Takes one dispatcher's report: what it saw of hosts, GETs that it took, its fills at sources, the verdicts that it holds.
-    pub fn reported(
+    pub fn on_report(
         &mut self,
         node: &str,
-        hosts: &[Told],
+        hosts: &[HostOutcomes],
         taken: u64,
         fills: (u64, u64),
         held: Option<&Struct>,
@@ -69,7 +69,7 @@
             }
             self.core.saw(node, at, &saw, gets, now);
             let name = &self.core.zones[at].name;
-            if let Some(line) = held.and_then(|held| messages::zone_held(held, name)) {
+            if let Some(line) = held.and_then(|held| messages::held_verdict(held, name)) {
                 // What it was told some time ago has taken effect.
                 self.core.holds(node, at, Verdict { from: now, ..line.verdict() }, now);
             }
@@ -82,29 +82,29 @@
     }
 
     /// What part of their keys hosts of each zone take, by the footprint's number.
-    pub fn parts(&self, now: Duration) -> impl Iterator<Item = (usize, f64)> {
+    pub fn key_fractions(&self, now: Duration) -> impl Iterator<Item = (usize, f64)> {
         let part = move |verdict: &Verdict| if now >= verdict.from { Some(verdict.part) } else { None };
         let zones = self.numbers.iter().zip(&self.core.zones);
         zones.filter_map(move |(&number, zone)| Some((number, part(&zone.verdict)?)))
     }
 
     /// Publishes each zone's verdict; nothing before it is known what followers hold.
-    pub fn publish(&self, exchange: &mut Exchange, now: Duration, unix_ms: u64) {
+    pub fn publish(&self, server: &mut AdsServer, now: Duration, unix_ms: u64) {
         if !self.core.is_ready() {
             return;
         }
         for zone in &self.core.zones {
             let lead = zone.verdict.from.saturating_sub(now).as_millis() as u64;
-            let line = ZoneLine::of(&zone.verdict, unix_ms + lead);
-            let name = messages::zone_name(&zone.name);
+            let line = ZoneNotice::from_verdict(&zone.verdict, unix_ms + lead);
+            let name = messages::zone_resource_name(&zone.name);
             // The time of day differs at each look: what it is of, is said once.
             let said = format!("{:?}", zone.verdict);
-            let version = Version::of(zone.verdict.epoch, 0, said.as_bytes());
-            if exchange.shelf().get(Kind::Notice, &name).is_some_and(|known| known.version == version) {
+            let version = Version::new(zone.verdict.epoch, 0, said.as_bytes());
+            if server.cache().get(ResourceType::Notice, &name).is_some_and(|known| known.version == version) {
                 continue;
             }
-            let resource = Resource { version, body: line.body(&name).into(), leased: false };
-            exchange.put(Kind::Notice, &name, Some(resource), true);
+            let resource = Resource { version, body: line.encode_notice(&name).into(), is_leased: false };
+            server.put(ResourceType::Notice, &name, Some(resource), true);
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// A line for each zone, as the published answer has room for it: in a node's metadata.
-    pub fn shown(&self, now: Duration) -> Vec<ClientConfig> {
+    pub fn statuses(&self, now: Duration) -> Vec<ClientConfig> {
         let zones = self.core.zones.iter().enumerate().map(|(at, zone)| {
             let (tally, verdict) = (self.core.tally(at, now), zone.verdict);
             let votes: Vec<_> = self
@@ -159,7 +159,7 @@
             ];
             let fields = told.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
             let node = Node {
-                id: messages::zone_name(&zone.name),
+                id: messages::zone_resource_name(&zone.name),
                 metadata: Some(Struct { fields }),
                 ..Default::default()
             };
--- a/crates/control/tests/absurd_reports.rs
+++ b/crates/control/tests/absurd_reports.rs
@@ -9,8 +9,8 @@
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::load_stats::v3::load_reporting_service_client::LoadReportingServiceClient;
-use myrtlegauge_control::messages::address_of;
-use myrtlegauge_control::shelf::Kind;
+use myrtlegauge_control::messages::encode_address;
+use myrtlegauge_control::resource_cache::ResourceType;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::thread::JoinHandle;
@@ -54,7 +54,7 @@
         total_metric_value: 1e300,
     };
     let stats = (19000..19006).map(|port| endpoint::UpstreamEndpointStats {
-        address: Some(address_of(([127, 0, 0, 1], port).into())),
+        address: Some(encode_address(([127, 0, 0, 1], port).into())),
         total_successful_requests: u64::MAX,
         total_error_requests: u64::MAX,
         load_metric_stats: vec![metric("fills/product-photo"), metric("late")],
@@ -72,7 +72,7 @@
 /// How a stream ends that asks for more names than it may.
 async fn ask_for_too_much(channel: Channel) -> Code {
     let request = DeltaDiscoveryRequest {
-        type_url: Kind::Host.url().into(),
+        type_url: ResourceType::Host.type_url().into(),
         resource_names_subscribe: (0..10_000).map(|name| format!("caches/none-{name}")).collect(),
         ..Default::default()
     };
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,11 +1,13 @@
-//! A fleet, an exchange and followers, without sockets.
+//! A fleet, an server and followers, without sockets.
 #![allow(dead_code)]
 
-use myrtlegauge_control::exchange::{Exchange, Form, LANES, Lane, Message, Request, StreamId};
+use myrtlegauge_control::ads_server::{
+    AdsServer, Message, PRIORITIES, Priority, ProtocolVariant, Request, StreamId,
+};
 use myrtlegauge_control::fleet::Fleet;
-use myrtlegauge_control::follower::{Asked, Follower, subscriptions, written_at};
+use myrtlegauge_control::follower::{Follower, GetKey, nonce_unix_ms, subscriptions};
 use myrtlegauge_control::lease::Lease;
-use myrtlegauge_control::shelf::Kind;
+use myrtlegauge_control::resource_cache::ResourceType;
 use myrtlegauge_wire::clock::Clock;
 use myrtlegauge_wire::protocol::changelog::{Endpoint, Purge};
 use std::borrow::Cow;
@@ -18,12 +20,12 @@
 }
 
 pub fn lease() -> Lease {
-    Lease::of(ms(250), ms(1000), ms(10))
+    Lease::from_grace_periods(ms(250), ms(1000), ms(10))
 }
 
 pub struct World {
     pub fleet: Fleet,
-    pub exchange: Exchange,
+    pub server: AdsServer,
     pub now: Duration,
 }
 
@@ -58,12 +60,12 @@
         let clock = Clock::start();
         let now = clock.now();
         let fleet = Fleet::new(&file.facts, 7, clock).unwrap();
-        let mut world = Self { fleet, exchange: Exchange::new(lease, 64), now };
+        let mut world = Self { fleet, server: AdsServer::new(lease, 64), now };
         let mut lines: Vec<_> = (0..caches).map(|n| line(&format!("cache-{n}"), "active", 0)).collect();
         lines.extend((0..parents).map(|n| line(&format!("parent-{}", 1000 + n), "active", 0)));
         lines.push(line("origin-2000", "active", 0));
-        world.fleet.listed(&lines, true, now);
-        world.exchange.begin();
+        world.fleet.on_host_list(&lines, true, now);
+        world.server.set_ready();
         world.publish();
         world
     }
@@ -74,48 +76,48 @@
 
     pub fn publish(&mut self) {
         let unix_ms = self.unix_ms();
-        self.fleet.publish(&mut self.exchange, 1, self.now, unix_ms);
+        self.fleet.publish(&mut self.server, 1, self.now, unix_ms);
     }
 
     pub fn told(&mut self, name: &str, status: &'static str, since_unix_ms: u64) {
-        self.fleet.listed(&[line(name, status, since_unix_ms)], false, self.now);
+        self.fleet.on_host_list(&[line(name, status, since_unix_ms)], false, self.now);
         self.publish();
     }
 
     pub fn purge(&mut self, object: Option<&'static str>, bucket: Option<u64>, unix_ms: f64) {
-        self.fleet.purged(&Purge { object: object.map(Cow::Borrowed), bucket, unix_ms }, self.now);
+        self.fleet.on_purge(&Purge { object: object.map(Cow::Borrowed), bucket, unix_ms }, self.now);
         self.publish();
     }
 
     pub fn pass(&mut self, by: Duration) {
         self.now += by;
-        self.fleet.tend(self.now);
+        self.fleet.on_timer(self.now);
         self.publish();
-        self.exchange.turn(self.now);
+        self.server.advance(self.now);
     }
 
     /// The next message to a stream, of the most pressing lane that has one.
     pub fn next(&mut self, id: StreamId) -> Option<Message> {
         let unix_ms = self.unix_ms();
-        LANES.into_iter().find_map(|lane| self.exchange.next(id, lane, self.now, unix_ms))
+        PRIORITIES.into_iter().find_map(|lane| self.server.next_message(id, lane, self.now, unix_ms))
     }
 }
 
 /// A proxy on one stream.
 pub struct Proxy {
-    pub form: Form,
+    pub form: ProtocolVariant,
     pub stream: StreamId,
     pub follower: Follower,
     /// What it would tell on a new stream: names and versions that it holds, and of the whole types the last version.
-    pub holds: std::collections::BTreeMap<(Kind, String), String>,
-    pub last: std::collections::BTreeMap<Kind, String>,
+    pub holds: std::collections::BTreeMap<(ResourceType, String), String>,
+    pub last: std::collections::BTreeMap<ResourceType, String>,
     /// What it refuses, by name.
     pub refuses: Option<String>,
-    pub got: Vec<(Lane, Kind, usize)>,
+    pub got: Vec<(Priority, ResourceType, usize)>,
 }
 
 impl Proxy {
-    pub fn join(world: &mut World, form: Form) -> Self {
+    pub fn join(world: &mut World, form: ProtocolVariant) -> Self {
         let mut proxy = Self {
             form,
             stream: 0,
@@ -130,32 +132,38 @@
     }
 
     pub fn open(&mut self, world: &mut World) {
-        self.stream = world.exchange.open(self.form, "test", world.now).unwrap();
-        world.exchange.turn(world.now);
-        for (kind, names) in subscriptions(self.form) {
-            let mut request = Request { url: kind.url().into(), ..Request::default() };
-            request.names = names.iter().map(|name| (*name).to_owned()).collect();
+        self.stream = world.server.open_stream(self.form, "test", world.now).unwrap();
+        world.server.advance(world.now);
+        for (resource_type, names) in subscriptions(self.form) {
+            let mut request = Request { type_url: resource_type.type_url().into(), ..Request::default() };
+            request.resource_names = names.iter().map(|name| (*name).to_owned()).collect();
             match self.form {
-                Form::Whole => request.version = self.last.get(&kind).cloned().unwrap_or_default(),
-                Form::Delta => {
-                    let held = self.holds.iter().filter(|((of, _), _)| *of == kind);
-                    request.holds =
+                ProtocolVariant::Whole => {
+                    request.accepted_version = self.last.get(&resource_type).cloned().unwrap_or_default()
+                }
+                ProtocolVariant::Delta => {
+                    let held = self.holds.iter().filter(|((of, _), _)| *of == resource_type);
+                    request.held_versions =
                         held.map(|((_, name), version)| (name.clone(), version.clone())).collect();
                 }
             }
-            world.exchange.heard(self.stream, &request, world.now).unwrap();
+            world.server.on_request(self.stream, &request, world.now).unwrap();
         }
     }
 
     pub fn reopen(&mut self, world: &mut World) {
-        world.exchange.close(self.stream);
+        world.server.close_stream(self.stream);
         self.open(world);
     }
 
     /// Takes a message; the answer that it gives.
     pub fn take(&mut self, message: &Message, now_ms: u64) -> Request {
         let mut error = None;
-        self.got.push((message.lane, message.kind, message.resources.len() + message.removed.len()));
+        self.got.push((
+            message.priority,
+            message.resource_type,
+            message.resources.len() + message.removed.len(),
+        ));
         let refused = |name: &str| self.refuses.as_deref() == Some(name);
         if message.resources.iter().any(|sent| sent.body.is_some() && refused(&sent.name)) {
             error = Some("not to be had".to_owned());
@@ -163,34 +171,37 @@
         if error.is_none() {
             for sent in &message.resources {
                 if let Some(body) = &sent.body {
-                    if let Err(why) = self.follower.take(message.kind, &sent.name, body, now_ms) {
+                    if let Err(why) = self.follower.apply(message.resource_type, &sent.name, body, now_ms) {
                         error = Some(why.to_owned());
                         break;
                     }
-                    self.holds.insert((message.kind, sent.name.to_string()), sent.version.to_string());
+                    self.holds
+                        .insert((message.resource_type, sent.name.to_string()), sent.version.to_string());
                 }
                 if let Some(ttl) = sent.ttl {
-                    self.follower.leased(ttl, written_at(&message.nonce).unwrap(), now_ms);
+                    self.follower.extend_lease(ttl, nonce_unix_ms(&message.nonce).unwrap(), now_ms);
                 }
             }
             for name in &message.removed {
-                self.follower.removed(message.kind, name, now_ms);
-                self.holds.remove(&(message.kind, name.to_string()));
+                self.follower.remove(message.resource_type, name, now_ms);
+                self.holds.remove(&(message.resource_type, name.to_string()));
             }
-            self.last.insert(message.kind, message.version.clone());
+            self.last.insert(message.resource_type, message.version.clone());
         }
-        let names = if self.form == Form::Whole {
-            let asked = subscriptions(self.form).into_iter().find(|(kind, _)| *kind == message.kind);
+        let names = if self.form == ProtocolVariant::Whole {
+            let asked = subscriptions(self.form)
+                .into_iter()
+                .find(|(resource_type, _)| *resource_type == message.resource_type);
             asked.map(|(_, names)| names.iter().map(|name| (*name).to_owned()).collect()).unwrap_or_default()
         } else {
             Vec::new()
         };
         Request {
-            url: message.kind.url().into(),
-            names,
-            version: message.version.clone(),
+            type_url: message.resource_type.type_url().into(),
+            resource_names: names,
+            accepted_version: message.version.clone(),
             nonce: message.nonce.clone(),
-            error,
+            error_detail: error,
             ..Request::default()
         }
     }
@@ -200,7 +211,7 @@
         let mut count = 0;
         while let Some(message) = world.next(self.stream) {
             let answer = self.take(&message, world.unix_ms());
-            world.exchange.heard(self.stream, &answer, world.now).unwrap();
+            world.server.on_request(self.stream, &answer, world.now).unwrap();
             count += 1;
             assert!(count < 10_000, "a stream without an end");
         }
@@ -213,10 +224,11 @@
         object: u64,
         now_ms: u64,
     ) -> Result<(String, Option<String>, bool, Duration), String> {
-        let asked = Asked { service: "product-photo", object, part: 0, group: object % 256 };
+        let asked = GetKey { service: "product-photo", object, chunk: 0, group: object % 256 };
         let chosen = self.follower.choose(&asked, [None, None], |_| 0, now_ms);
-        let told =
-            chosen.map(|c| (c.cache.name.clone(), c.source.map(|s| s.name.clone()), c.held_only, c.oldest));
+        let told = chosen.map(|c| {
+            (c.cache.name.clone(), c.source.map(|s| s.name.clone()), c.only_if_cached, c.max_accepted_age)
+        });
         told.map_err(|why| format!("{why:?}"))
     }
 }
--- a/crates/control/tests/decisions.rs
+++ b/crates/control/tests/decisions.rs
@@ -5,8 +5,8 @@
 use common::{Proxy, World, line, ms};
 use myrtlegauge::decide::Router;
 use myrtlegauge::interface::*;
-use myrtlegauge_control::exchange::Form;
-use myrtlegauge_control::reports::Summary;
+use myrtlegauge_control::ads_server::ProtocolVariant;
+use myrtlegauge_control::load_reports::Summary;
 use myrtlegauge_wire::protocol::changelog::Endpoint;
 use std::time::Duration;
 
@@ -98,7 +98,8 @@
 fn a_follower_chooses_as_the_module_does_before_during_and_after_changes() {
     let mut world = World::new(5, 3);
     let mut twin = Twin::of(&world);
-    let mut proxies = [Proxy::join(&mut world, Form::Delta), Proxy::join(&mut world, Form::Whole)];
+    let mut proxies =
+        [Proxy::join(&mut world, ProtocolVariant::Delta), Proxy::join(&mut world, ProtocolVariant::Whole)];
     let mut told = String::new();
     let mut step = |what: &str, world: &mut World, twin: &mut Twin| {
         told += &format!("{what}: {}\n", agree(world, twin, &mut proxies));
@@ -121,7 +122,7 @@
     // Three of four intervals in which most proxies' GETs at a cache failed.
     for _ in 0..4 {
         let failed = Summary { outcomes: vec![(2, false)], fills: Vec::new() };
-        world.fleet.reported(&failed, world.now);
+        world.fleet.on_load_summary(&failed, world.now);
         twin.router.round(world.now, &mut First::default(), |round| round.on_host_report(2, false));
     }
     world.publish();
@@ -132,7 +133,7 @@
 #[test]
 fn a_purge_bounds_the_age_of_what_a_follower_accepts_and_never_lets_any_age_do() {
     let mut world = World::new(3, 2);
-    let mut proxy = Proxy::join(&mut world, Form::Delta);
+    let mut proxy = Proxy::join(&mut world, ProtocolVariant::Delta);
     proxy.drain(&mut world);
     let oldest = |proxy: &mut Proxy, object, world: &World| proxy.choice(object, world.unix_ms()).unwrap().3;
     assert_eq!(oldest(&mut proxy, 0x17, &world), ms(5000));
@@ -160,7 +161,7 @@
 #[test]
 fn slow_fills_set_the_flag_and_the_accepted_age_grows_at_each_miss_and_goes_back() {
     let mut world = World::new(3, 2);
-    let mut proxy = Proxy::join(&mut world, Form::Delta);
+    let mut proxy = Proxy::join(&mut world, ProtocolVariant::Delta);
     let mut ages = String::new();
     let mut see = |world: &mut World, what: &str| {
         world.publish();
@@ -176,7 +177,7 @@
     let origin = world.fleet.entries().map(|e| e.host).last().unwrap();
     for bad in [0, 4] {
         let fills = Summary { outcomes: Vec::new(), fills: vec![(origin, 1, 2 + bad, bad, 3)] };
-        world.fleet.reported(&fills, world.now);
+        world.fleet.on_load_summary(&fills, world.now);
         see(&mut world, &format!("{} fills, {bad} of them slow", 2 + bad));
     }
     world.pass(ms(6000));
@@ -188,24 +189,28 @@
 fn an_instance_behind_in_the_change_log_takes_no_follower_back() {
     let (mut ahead, mut behind) = (World::new(3, 2), World::new(3, 2));
     behind.now = ahead.now;
-    let mut proxy = Proxy::join(&mut ahead, Form::Delta);
+    let mut proxy = Proxy::join(&mut ahead, ProtocolVariant::Delta);
     proxy.drain(&mut ahead);
     ahead.told("cache-0", "leaving", 0);
     let at = ahead.unix_ms() as f64;
     ahead.purge(Some("0000000000000007"), None, at);
     proxy.drain(&mut ahead);
-    assert!(proxy.follower.knows("cache-0").unwrap().draining);
+    assert!(proxy.follower.host("cache-0").unwrap().draining);
     // It changes over to the instance that has heard neither.
     proxy.open(&mut behind);
     let sent = proxy.drain(&mut behind);
     assert!(sent > 0);
     let still = |proxy: &mut Proxy, now_ms| {
-        assert!(proxy.follower.knows("cache-0").unwrap().draining);
+        assert!(proxy.follower.host("cache-0").unwrap().draining);
         assert!(proxy.choice(7, now_ms).unwrap().3 < ms(5000));
     };
     still(&mut proxy, behind.unix_ms());
     // Other news of the same host does not do it either.
-    behind.fleet.listed(&[Endpoint { weight: Some(5.0), ..line("cache-0", "active", 0) }], false, behind.now);
+    behind.fleet.on_host_list(
+        &[Endpoint { weight: Some(5.0), ..line("cache-0", "active", 0) }],
+        false,
+        behind.now,
+    );
     behind.publish();
     proxy.drain(&mut behind);
     still(&mut proxy, behind.unix_ms());
@@ -214,50 +219,51 @@
         behind.pass(ms(100));
         proxy.drain(&mut behind);
     }
-    assert!(!proxy.follower.knows("cache-0").unwrap().draining);
+    assert!(!proxy.follower.host("cache-0").unwrap().draining);
 }
 
 #[test]
 fn a_drain_is_taken_though_the_list_leaves_out_or_contradicts_when_the_host_started() {
     let mut world = World::new(3, 2);
-    let mut proxy = Proxy::join(&mut world, Form::Delta);
+    let mut proxy = Proxy::join(&mut world, ProtocolVariant::Delta);
     let started = world.unix_ms();
     world.told("cache-0", "active", started);
     proxy.drain(&mut world);
     // As if it had never been told that it started late.
     world.told("cache-0", "leaving", 0);
     proxy.drain(&mut world);
-    assert!(proxy.follower.knows("cache-0").unwrap().draining);
+    assert!(proxy.follower.host("cache-0").unwrap().draining);
     // The drain is taken back by the instance that told it: that is later news, and holds at once.
     world.pass(ms(20));
     world.told("cache-0", "active", started);
     proxy.drain(&mut world);
-    assert!(!proxy.follower.knows("cache-0").unwrap().draining);
+    assert!(!proxy.follower.host("cache-0").unwrap().draining);
     // Another instance knows an earlier life alone: its drain is taken all the same, for a lax error breaks a rule.
     let mut other = World::new(3, 2);
     other.now = world.now;
     other.told("cache-0", "leaving", 0);
     proxy.open(&mut other);
     proxy.drain(&mut other);
-    assert!(proxy.follower.knows("cache-0").unwrap().draining);
+    assert!(proxy.follower.host("cache-0").unwrap().draining);
 }
 
 #[test]
 fn a_host_back_cold_at_the_same_address_within_one_push_is_another_life() {
     let mut world = World::new(3, 2);
-    let mut proxies = [Proxy::join(&mut world, Form::Delta), Proxy::join(&mut world, Form::Whole)];
+    let mut proxies =
+        [Proxy::join(&mut world, ProtocolVariant::Delta), Proxy::join(&mut world, ProtocolVariant::Whole)];
     for proxy in &mut proxies {
         proxy.drain(&mut world);
     }
     let started = world.unix_ms();
     let cold = Endpoint { name: "cache-77".into(), ..line("cache-0", "active", started) };
     let all = [line("cache-0", "leaving", 0), line("cache-0", "left", 0), cold];
-    world.fleet.listed(&all, false, world.now);
+    world.fleet.on_host_list(&all, false, world.now);
     world.publish();
     for proxy in &mut proxies {
         proxy.drain(&mut world);
-        assert!(proxy.follower.knows("cache-0").is_none());
-        let part = proxy.follower.knows("cache-77").unwrap().part;
+        assert!(proxy.follower.host("cache-0").is_none());
+        let part = proxy.follower.host("cache-77").unwrap().part;
         assert!(part > 0.0 && part < 0.25, "{part}");
     }
 }
--- a/crates/follow/src/stream.rs
+++ b/crates/follow/src/stream.rs
@@ -7,10 +7,10 @@
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::load_stats::v3::load_reporting_service_client::LoadReportingServiceClient;
-use myrtlegauge_control::follower::written_at;
-use myrtlegauge_control::inbound::Told;
-use myrtlegauge_control::messages::{self, BY_HOST, ZoneLine};
-use myrtlegauge_control::shelf::Kind;
+use myrtlegauge_control::follower::nonce_unix_ms;
+use myrtlegauge_control::messages::{self, BY_HOST_CLUSTER, ZoneNotice};
+use myrtlegauge_control::resource_cache::ResourceType;
+use myrtlegauge_control::session::Response;
 use myrtlegauge_dispatcher::routing::{SeenHost, ZoneNews, ZoneReport};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -90,11 +90,13 @@
     let said = |status: tonic::Status| status.to_string();
     let mut client = AggregatedDiscoveryServiceClient::new(connected(to).await?);
     let (out, requests) = mpsc::channel(8);
-    let names = of.zones.iter().map(|zone| messages::zone_name(zone)).collect();
-    for (kind, names) in [(Kind::Notice, names), (Kind::Assignment, vec![BY_HOST.to_owned()])] {
+    let names = of.zones.iter().map(|zone| messages::zone_resource_name(zone)).collect();
+    for (resource_type, names) in
+        [(ResourceType::Notice, names), (ResourceType::Assignment, vec![BY_HOST_CLUSTER.to_owned()])]
+    {
         let request = DeltaDiscoveryRequest {
             node: Some(Node { id: of.name.clone(), ..Default::default() }),
-            type_url: kind.url().into(),
+            type_url: resource_type.type_url().into(),
             resource_names_subscribe: names,
             ..Default::default()
         };
@@ -104,9 +106,11 @@
     let (mut answers, mut heard) = (answers.into_inner(), BTreeSet::new());
     while let Some(response) = answers.message().await.map_err(said)? {
         let (nonce, url) = (response.nonce.clone(), response.type_url.clone());
-        let told = Told::from(response);
+        let response = Response::from(response);
         let mut refused = None;
-        for resource in told.resources.iter().filter(|_| told.kind == Some(Kind::Notice)) {
+        for resource in
+            response.resources.iter().filter(|_| response.resource_type == Some(ResourceType::Notice))
+        {
             let Some(body) = &resource.body else { continue };
             match verdict(body) {
                 Ok((zone, line)) => {
@@ -119,8 +123,9 @@
             }
         }
         // A lease vouches for what was told before it: for nothing before all zones were.
-        let ttl = told.resources.iter().filter_map(|resource| resource.ttl).max();
-        if let (Some(ttl), Some(written), true) = (ttl, written_at(&nonce), heard.len() == of.zones.len()) {
+        let ttl = response.resources.iter().filter_map(|resource| resource.ttl).max();
+        if let (Some(ttl), Some(written), true) = (ttl, nonce_unix_ms(&nonce), heard.len() == of.zones.len())
+        {
             let old = Duration::from_millis(unix_ms().saturating_sub(written));
             let left = ttl.saturating_sub(old);
             says.send(ZoneNews::Lease(left)).map_err(|_| "the dispatcher ends")?;
@@ -141,10 +146,10 @@
     Ok(())
 }
 
-fn verdict(body: &[u8]) -> Result<(String, ZoneLine), &'static str> {
-    let (name, fields) = messages::read_notice(body)?;
-    let zone = messages::zone_named(&name).ok_or("a notice that names no zone")?;
-    Ok((zone.to_owned(), ZoneLine::read(&fields)?))
+fn verdict(body: &[u8]) -> Result<(String, ZoneNotice), &'static str> {
+    let (name, fields) = messages::decode_notice(body)?;
+    let zone = messages::parse_zone_resource_name(&name).ok_or("a notice that names no zone")?;
+    Ok((zone.to_owned(), ZoneNotice::from_fields(&fields)?))
 }
 
 /// One stream of evidence, to its end.
@@ -172,10 +177,11 @@
 }
 
 fn node(of: &Following, report: &ZoneReport) -> Node {
-    let held = report.held.iter().map(|(zone, verdict)| (zone.as_str(), ZoneLine::of(verdict, 0)));
+    let held =
+        report.held.iter().map(|(zone, verdict)| (zone.as_str(), ZoneNotice::from_verdict(verdict, 0)));
     Node {
         id: of.name.clone(),
-        metadata: Some(messages::zones_held(held, report.taken)),
+        metadata: Some(messages::held_verdicts_metadata(held, report.taken)),
         ..Default::default()
     }
 }
@@ -193,8 +199,8 @@
                 Some(metric(format!("fills/{}", of.services.get(ds)?), *all, *bad))
             });
         endpoint::UpstreamEndpointStats {
-            address: Some(messages::address_of(*address)),
-            metadata: Some(messages::host_said(name)),
+            address: Some(messages::encode_address(*address)),
+            metadata: Some(messages::host_metadata(name)),
             total_successful_requests: *returned,
             total_error_requests: *errored,
             load_metric_stats: std::iter::once(metric("late".into(), *late, 0)).chain(fills).collect(),
--- a/crates/lab/src/fleet/faults.rs
+++ b/crates/lab/src/fleet/faults.rs
@@ -195,7 +195,8 @@
     async fn order(&self, zone: usize, order: &'static str) -> Result<(), String> {
         let service = self.control_services.first().ok_or("no service to order anything of")?;
         let (zone, address) = (zones::zone_name(zone), service.address);
-        let ask = move || myrtlegauge_control::shown::ask(address, Some((&zone, order)), ORDER_TIMEOUT);
+        let ask =
+            move || myrtlegauge_control::client_status::fetch(address, Some((&zone, order)), ORDER_TIMEOUT);
         tokio::task::spawn_blocking(ask).await.map_err(|e| e.to_string())??;
         Ok(())
     }
--- a/crates/lab/src/fleet/zones.rs
+++ b/crates/lab/src/fleet/zones.rs
@@ -11,7 +11,7 @@
 use envoy_types::pb::envoy::config::endpoint::v3 as endpoint;
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::load_stats::v3::load_reporting_service_client::LoadReportingServiceClient;
-use myrtlegauge_control::messages::address_of;
+use myrtlegauge_control::messages::encode_address;
 use myrtlegauge_dispatcher::routing::ZoneNews;
 use myrtlegauge_follow::stream::{self, Following};
 use myrtlegauge_zones::Verdict;
@@ -228,7 +228,7 @@
     let (out, reports) = mpsc::channel(2);
     let node = Some(Node { id: name, ..Default::default() });
     let stats = hosts.iter().map(|&host| endpoint::UpstreamEndpointStats {
-        address: Some(address_of(host)),
+        address: Some(encode_address(host)),
         total_error_requests: 50,
         ..Default::default()
     });
--- a/crates/lab/src/xds/mod.rs
+++ b/crates/lab/src/xds/mod.rs
@@ -11,7 +11,7 @@
 use crate::stand::process::Dispatcher;
 use crate::stand::service::Service;
 use crate::stand::{self, asker, line, process, watch};
-use myrtlegauge_control::exchange::Form;
+use myrtlegauge_control::ads_server::ProtocolVariant;
 use proxy::{Fault, Proxy};
 use serde_json::{Value, json};
 use std::process::ExitCode;
@@ -144,10 +144,10 @@
     let mut followers = Vec::new();
     for index in 0..proxies {
         let form = match plan.form {
-            Forms::Delta => Form::Delta,
-            Forms::Whole => Form::Whole,
-            Forms::Mixed if index % 2 == 0 => Form::Delta,
-            Forms::Mixed => Form::Whole,
+            Forms::Delta => ProtocolVariant::Delta,
+            Forms::Whole => ProtocolVariant::Whole,
+            Forms::Mixed if index % 2 == 0 => ProtocolVariant::Delta,
+            Forms::Mixed => ProtocolVariant::Whole,
         };
         let link = Link::lay(service.address()).await.map_err(|e| e.to_string())?;
         followers.push(Arc::new(Proxy::new(index, form, link, Arc::clone(&ledger), plan.without)));
--- a/crates/lab/src/xds/proxy.rs
+++ b/crates/lab/src/xds/proxy.rs
@@ -10,10 +10,10 @@
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::load_stats::v3::load_reporting_service_client::LoadReportingServiceClient;
-use myrtlegauge_control::exchange::Form;
-use myrtlegauge_control::follower::{Asked, Shed};
-use myrtlegauge_control::inbound::{Session, Told};
-use myrtlegauge_control::messages::address_of;
+use myrtlegauge_control::ads_server::ProtocolVariant;
+use myrtlegauge_control::follower::{GetKey, ShedReason};
+use myrtlegauge_control::messages::encode_address;
+use myrtlegauge_control::session::{Response, Session};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -92,7 +92,7 @@
 impl Proxy {
     pub fn new(
         index: usize,
-        form: Form,
+        variant: ProtocolVariant,
         link: Arc<Link>,
         ledger: Arc<Ledger>,
         without: Option<Without>,
@@ -100,7 +100,7 @@
         let name = format!("proxy-{index}");
         Self {
             index,
-            session: Mutex::new(Session::new(form, &name)),
+            session: Mutex::new(Session::new(variant, &name)),
             name,
             without,
             link,
@@ -130,7 +130,7 @@
         if self.whole_since.lock().expect("no holder panics").is_none_or(|whole| whole < since) {
             return false;
         }
-        let asked = Asked { service: "product-photo", object: 1, part: 0, group: 1 };
+        let asked = GetKey { service: "product-photo", object: 1, chunk: 0, group: 1 };
         self.session().follower.choose(&asked, [None, None], |_| 0, now_ms()).is_ok()
     }
 
@@ -193,61 +193,63 @@
             .map_err(failed)?;
         let mut client = AggregatedDiscoveryServiceClient::new(channel).max_decoding_message_size(64 << 20);
         let said = |status: tonic::Status| status.to_string();
-        let form = self.session().form();
-        if form == Form::Whole {
-            let begin = self.session().begin_whole();
+        let variant = self.session().variant();
+        if variant == ProtocolVariant::Whole {
+            let begin = self.session().initial_whole_requests();
             let (out, requests) = begun(begin).await?;
             let answers = client.stream_aggregated_resources(requests).await.map_err(said)?.into_inner();
-            self.converse(&out, answers, Session::answer_whole).await
+            self.converse(&out, answers, Session::acknowledge_whole).await
         } else {
-            let begin = self.session().begin_delta();
+            let begin = self.session().initial_delta_requests();
             let (out, requests) = begun(begin).await?;
             let answers = client.delta_aggregated_resources(requests).await.map_err(said)?.into_inner();
-            self.converse(&out, answers, Session::answer_delta).await
+            self.converse(&out, answers, Session::acknowledge_delta).await
         }
     }
 
     /// Takes and answers all that comes, until the stream ends.
-    async fn converse<Q, A: Into<Told>>(
+    async fn converse<Q, A: Into<Response>>(
         &self,
         out: &mpsc::Sender<Q>,
         mut answers: tonic::Streaming<A>,
-        answer: fn(&Session, &Told, Option<String>) -> Q,
+        answer: fn(&Session, &Response, Option<String>) -> Q,
     ) -> Result<(), String> {
         while let Some(response) = answers.message().await.map_err(|e| e.to_string())? {
-            let told = response.into();
-            let refused = self.take(&told).await;
-            let answer = answer(&self.session(), &told, refused);
+            let response = response.into();
+            let refused = self.take(&response).await;
+            let answer = answer(&self.session(), &response, refused);
             out.send(answer).await.map_err(|e| e.to_string())?;
         }
         Ok(())
     }
 
-    async fn take(&self, told: &Told) -> Option<String> {
+    async fn take(&self, response: &Response) -> Option<String> {
         let deaf = self.deaf.lock().expect("no holder panics").take();
         if let Some(until) = deaf {
             tokio::time::sleep_until(until.into()).await;
         }
-        let bytes: usize = told.resources.iter().filter_map(|r| r.body.as_ref()).map(Vec::len).sum();
+        let bytes: usize = response.resources.iter().filter_map(|r| r.body.as_ref()).map(Vec::len).sum();
         self.messages.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64 + 64, Ordering::Relaxed);
         let refuse = *self.refuse.lock().expect("no holder panics");
-        let refused =
-            refuse.filter(|what| told.resources.iter().any(|r| r.body.is_some() && r.name.contains(what)));
+        let refused = refuse
+            .filter(|what| response.resources.iter().any(|r| r.body.is_some() && r.name.contains(what)));
         let names: Vec<_> =
-            told.resources.iter().map(|r| (r.name.as_str(), r.body.is_some(), r.ttl)).collect();
-        if !names.is_empty() && told.resources.iter().any(|r| r.body.is_some()) {
-            self.ledger
-                .say(format_args!("proxy {} is told {:?} {names:?} {}", self.index, told.kind, told.nonce));
+            response.resources.iter().map(|r| (r.name.as_str(), r.body.is_some(), r.ttl)).collect();
+        if !names.is_empty() && response.resources.iter().any(|r| r.body.is_some()) {
+            self.ledger.say(format_args!(
+                "proxy {} is told {:?} {names:?} {}",
+                self.index, response.resource_type, response.nonce
+            ));
         }
         let taken = match refused {
             Some(what) => Err(format!("{what} is refused for the proof")),
-            None => self.session().take(told, now_ms()),
+            None => self.session().apply(response, now_ms()),
         };
         if self.without == Some(Without::Lease) {
-            self.session().follower.leased(Duration::from_secs(3600), now_ms(), now_ms());
+            self.session().follower.extend_lease(Duration::from_secs(3600), now_ms(), now_ms());
         }
-        self.note(told.resources.iter().any(|resource| resource.ttl.is_some()));
+        self.note(response.resources.iter().any(|resource| resource.ttl.is_some()));
         let slow = *self.slow.lock().expect("no holder panics");
         if !slow.is_zero() {
             tokio::time::sleep(slow).await;
@@ -269,7 +271,7 @@
         for host in self.ledger.draining_hosts() {
             let session = self.session();
             let kinds = ["cache", "parent"].map(|kind| format!("{kind}-{host}"));
-            let known = kinds.iter().find_map(|name| session.follower.knows(name));
+            let known = kinds.iter().find_map(|name| session.follower.host(name));
             if known.is_none_or(|line| line.draining) {
                 drop(session);
                 self.ledger.drain_took_effect(host, self.index, since);
@@ -281,7 +283,7 @@
                 Named::Object(object) => myrtlegauge::interface::PurgeKey::Object(object),
                 Named::Group(group) => myrtlegauge::interface::PurgeKey::Group(group),
             };
-            let held = self.session().follower.purged(named);
+            let held = self.session().follower.purge(named);
             if held.is_none_or(|held| (held.at_unix_ms as f64) < unix_ms.floor()) {
                 break;
             }
@@ -309,7 +311,7 @@
         loop {
             let (address, _, again, most, names) = match self.choice(service, object, &tried) {
                 Ok(chosen) => chosen,
-                Err(Shed::NoLease) => return "shed, no lease",
+                Err(ShedReason::NoLease) => return "shed, no lease",
                 Err(_) => return "shed",
             };
             if sent >= most.max(1) {
@@ -327,13 +329,13 @@
                     self.keep(address, stream);
                     continue;
                 }
-                Err(Shed::NoLease) => return "shed, no lease",
+                Err(ShedReason::NoLease) => return "shed, no lease",
                 Err(_) => return "shed",
             };
             sent += 1;
             if let Some(name) = &names[0] {
                 let session = self.session();
-                let line = session.follower.knows(name);
+                let line = session.follower.host(name);
                 let lease = session.follower.lease_left_ms(now_ms());
                 self.ledger.say(format_args!("{id} goes by {line:?}, lease {lease} ms, to {address}"));
             }
@@ -390,17 +392,17 @@
         service: &'static str,
         object: u64,
         tried: &[Option<String>; 2],
-    ) -> Result<(SocketAddr, String, bool, u32, [Option<String>; 2]), Shed> {
+    ) -> Result<(SocketAddr, String, bool, u32, [Option<String>; 2]), ShedReason> {
         let mut session = self.session();
-        let asked = Asked { service, object, part: 0, group: object % 64 };
+        let asked = GetKey { service, object, chunk: 0, group: object % 64 };
         let tried = [tried[0].as_deref(), tried[1].as_deref()];
         let choice = session.follower.choose(&asked, tried, |_| 0, now_ms())?;
         let mut fields = format!("lane={service},name={object:016x},piece=0");
         if let Some(source) = choice.source.filter(|source| source.name != choice.cache.name) {
             fields += &format!(",up={}", source.name);
         }
-        if !choice.oldest.is_zero() && self.without != Some(Without::Purges) {
-            fields += &format!(",cap={:.3}", choice.oldest.as_secs_f64() * 1e3);
+        if !choice.max_accepted_age.is_zero() && self.without != Some(Without::Purges) {
+            fields += &format!(",cap={:.3}", choice.max_accepted_age.as_secs_f64() * 1e3);
         }
         let names = [Some(choice.cache.name.clone()), choice.source.map(|source| source.name.clone())];
         let again = choice.terms.again || self.without == Some(Without::Effects);
@@ -467,7 +469,7 @@
             let seen: BTreeMap<_, _> =
                 std::mem::take(&mut *self.seen.lock().expect("no holder panics")).into_iter().collect();
             let stats = seen.into_iter().map(|(address, seen)| endpoint::UpstreamEndpointStats {
-                address: Some(address_of(address)),
+                address: Some(encode_address(address)),
                 total_successful_requests: seen.returned,
                 total_error_requests: seen.errored,
                 load_metric_stats: vec![endpoint::EndpointLoadMetricStats {
--- a/crates/lab/src/xds/rogues.rs
+++ b/crates/lab/src/xds/rogues.rs
@@ -8,8 +8,8 @@
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::load_stats::v3::load_reporting_service_client::LoadReportingServiceClient;
-use myrtlegauge_control::messages::address_of;
-use myrtlegauge_control::shelf::Kind;
+use myrtlegauge_control::messages::encode_address;
+use myrtlegauge_control::resource_cache::ResourceType;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,10 +29,11 @@
     let liars: Vec<_> = (0..3).map(|liar| tokio::spawn(lie(to, hosts.clone(), seed + liar))).collect();
     let deaf = tokio::spawn(read_nothing(to));
     for names in [10_000, 0] {
-        for url in [Kind::Host.url(), "type.googleapis.com/no.such.Type"] {
+        for url in [ResourceType::Host.type_url(), "type.googleapis.com/no.such.Type"] {
             match ask(to, url, names).await {
-                Ok(Some(Code::ResourceExhausted)) if names > 4096 && url == Kind::Host.url() => {}
-                Ok(None) if names > 4096 && url == Kind::Host.url() => {
+                Ok(Some(Code::ResourceExhausted)) if names > 4096 && url == ResourceType::Host.type_url() => {
+                }
+                Ok(None) if names > 4096 && url == ResourceType::Host.type_url() => {
                     found.push(format!("{names} names of {url} were not refused"));
                 }
                 Ok(Some(code))
@@ -83,10 +84,10 @@
 async fn read_nothing(to: SocketAddr) -> Result<(), String> {
     let mut client = AggregatedDiscoveryServiceClient::new(channel(to).await?);
     let (out, requests) = mpsc::channel(8);
-    for kind in [Kind::Notice, Kind::Host, Kind::Cluster] {
+    for resource_type in [ResourceType::Notice, ResourceType::Host, ResourceType::Cluster] {
         let request = DeltaDiscoveryRequest {
             node: Some(Node { id: "deaf".into(), ..Default::default() }),
-            type_url: kind.url().into(),
+            type_url: resource_type.type_url().into(),
             resource_names_subscribe: vec!["*".into()],
             ..Default::default()
         };
@@ -109,7 +110,7 @@
     let answers = client.stream_load_stats(ReceiverStream::new(reports)).await.map_err(|e| e.to_string())?;
     for _ in 0..200 {
         let stats = hosts.iter().map(|host| endpoint::UpstreamEndpointStats {
-            address: Some(address_of(host.address)),
+            address: Some(encode_address(host.address)),
             total_successful_requests: 0,
             total_error_requests: if chance.bool() { u64::MAX } else { 1000 },
             load_metric_stats: vec![endpoint::EndpointLoadMetricStats {
