--- a/crates/control/src/ads_server.rs
+++ b/crates/control/src/ads_server.rs
@@ -140,7 +140,9 @@
 /// The subscription of one stream to one resource type.
 #[derive(Default)]
 struct Subscription {
+    /// Whether a request for this type has been received.
     is_requested: bool,
+    /// Whether all resources of this type are subscribed to, in addition to `names`.
     is_wildcard: bool,
     names: BTreeSet<Rc<str>>,
     /// Versions last sent and not rejected.
@@ -191,6 +193,7 @@
     }
 }
 
+/// One ADS stream to a proxy.
 struct AdsStream {
     variant: ProtocolVariant,
     node: String,
@@ -294,6 +297,7 @@
         }
     }
 
+    /// Opens a stream, or rejects it if the maximum number is open.
     pub fn open_stream(
         &mut self,
         variant: ProtocolVariant,
@@ -348,7 +352,7 @@
         };
         let subscription = &mut stream.subscriptions[resource_type as usize];
         if !request.nonce.is_empty() {
-            on_ack(subscription, &mut stream.counters, request);
+            on_ack_or_nack(subscription, &mut stream.counters, request);
         }
         let is_first = !std::mem::replace(&mut subscription.is_requested, true);
         match stream.variant {
@@ -396,7 +400,7 @@
                 if subscription
                     .unacked
                     .front()
-                    .is_some_and(|message_in_flight| now >= message_in_flight.sent_at + ACK_TIMEOUT)
+                    .is_some_and(|unacked_message| now >= unacked_message.sent_at + ACK_TIMEOUT)
                 {
                     timed_out.push(id);
                     break;
@@ -444,17 +448,15 @@
         stream.last_sequence += 1;
         message.nonce = format!("{:x}.{unix_ms:x}", stream.last_sequence);
         stream.counters.messages += 1;
-        let has_lease = message.resources.iter().any(|to_sent_resource| to_sent_resource.ttl.is_some());
+        let has_lease = message.resources.iter().any(|resource| resource.ttl.is_some());
         if has_lease {
             (stream.lease_renewed_at, stream.next_heartbeat) = (Some(now), now + lease.renew_interval);
         }
         if priority == Priority::Heartbeat {
             stream.counters.heartbeats += 1;
         } else {
-            let resources = message
-                .resources
-                .iter()
-                .map(|to_sent_resource| (Rc::clone(&to_sent_resource.name), to_sent_resource.version));
+            let resources =
+                message.resources.iter().map(|resource| (Rc::clone(&resource.name), resource.version));
             let removed = message.removed.iter().map(|name| (Rc::clone(name), Version::default()));
             let resources = resources.chain(removed).collect();
             let unacked_message = UnackedMessage {
@@ -482,7 +484,7 @@
             let subscriptions = || RESOURCE_TYPES.iter().zip(&stream.subscriptions);
             let oldest = subscriptions()
                 .filter_map(|(_, subscription)| subscription.unacked.front())
-                .map(|message_in_flight| message_in_flight.sent_at)
+                .map(|unacked_message| unacked_message.sent_at)
                 .min();
             let until = stream.lease_renewed_at.map(|at| at + self.lease.ttl);
             StreamStatus {
@@ -514,21 +516,19 @@
 }
 
 /// Handles the ACK or NACK in a request. It counts only if its nonce belongs to an unacknowledged message.
-fn on_ack(subscription: &mut Subscription, counters: &mut StreamCounters, request: &Request) {
+fn on_ack_or_nack(subscription: &mut Subscription, counters: &mut StreamCounters, request: &Request) {
     let sequence =
         request.nonce.split('.').next().and_then(|sequence| u64::from_str_radix(sequence, 16).ok());
-    let Some(at) = subscription
-        .unacked
-        .iter()
-        .position(|message_in_flight| Some(message_in_flight.sequence) == sequence)
+    let Some(position) =
+        subscription.unacked.iter().position(|unacked_message| Some(unacked_message.sequence) == sequence)
     else {
         // The nonce of a lease renewal, or of an older message: it says nothing about the unacknowledged messages.
         counters.stale_nonces += 1;
         return;
     };
     // Messages are handled in order, so the earlier ones were accepted.
-    for message_in_flight in subscription.unacked.drain(..at) {
-        message_in_flight.resources.iter().for_each(|(name, _)| drop(subscription.nacked.remove(name)));
+    for unacked_message in subscription.unacked.drain(..position) {
+        unacked_message.resources.iter().for_each(|(name, _)| drop(subscription.nacked.remove(name)));
     }
     let Some(UnackedMessage { is_urgent, resources, .. }) = subscription.unacked.pop_front() else { return };
     let Some(error) = &request.error_detail else {
@@ -541,7 +541,7 @@
     let must_separate = resources.len() > 1 && request.type_url != ResourceType::Assignment.type_url();
     for (name, version) in resources {
         // A later message already carries this resource; the response to that message decides.
-        if subscription.sent_versions.get(&name).is_some_and(|held| *held != version) {
+        if subscription.sent_versions.get(&name).is_some_and(|sent| *sent != version) {
             continue;
         }
         subscription.sent_versions.remove(&name);
@@ -702,8 +702,8 @@
         && stream.subscriptions.iter().enumerate().all(|(resource_type, subscription)| {
             let is_assignment = resource_type == ResourceType::Assignment as usize;
             let has_nack = subscription.nacked.values().any(|nack| nack.is_urgent || is_assignment);
-            let is_overdue = subscription.unacked.iter().any(|message_in_flight| {
-                message_in_flight.is_urgent && now >= message_in_flight.sent_at + lease.ttl
+            let is_overdue = subscription.unacked.iter().any(|unacked_message| {
+                unacked_message.is_urgent && now >= unacked_message.sent_at + lease.ttl
             });
             !has_nack && !is_overdue
         })
@@ -891,7 +891,7 @@
     let is_covered = can_extend_lease(stream, ResourceType::Assignment as usize, lease, now);
     for resource_type in RESOURCE_TYPES {
         let subscription = &stream.subscriptions[resource_type as usize];
-        if subscription.unacked.iter().any(|message_in_flight| !message_in_flight.is_urgent) {
+        if subscription.unacked.iter().any(|unacked_message| !unacked_message.is_urgent) {
             return None;
         }
         if subscription.is_idle() || resource_type == ResourceType::Assignment && !is_covered {
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The hosts, the purges and the decision module, and what is published of them. No I/O: news and the time come in,
-//! resources go to the server.
+//! The hosts, the purges and the decision module, and the resources published from them. Does no I/O: updates and the time
+//! are passed in, resources go to the ADS server.
 
 use crate::ads_server::AdsServer;
 use crate::load_reports::Summary;
@@ -21,44 +21,45 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A host gone for so long is forgotten: by then no proxy can still mean it.
-const FORGET: Duration = Duration::from_secs(60);
-/// Time to connect that proxies are told: under the least grace, for a host may drain meanwhile.
-const CONNECT: Duration = Duration::from_millis(200);
-/// An assignment holds a whole tier, so that what only grows in it (a cold host's part) is put together over this long;
-/// what drains, is gone or takes less goes at once. It hurts by a cold host that warms up a little later.
-const GATHER: Duration = Duration::from_millis(250);
-/// Purges held at once; a log that names more than that in the time for which purges hold is out of its mind, and the
-/// oldest go first.
-const PURGES_MOST: usize = 65_536;
-
-/// A host by its index.
-struct Known {
+/// How long a removed host is remembered. After this, no proxy can still refer to it.
+const REMOVED_HOST_RETENTION: Duration = Duration::from_secs(60);
+/// Connect time-out published to proxies. It is below the shortest grace, since a host may drain meanwhile.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// An assignment contains a whole tier, so increases (the key fraction of a cold host) are collected for this long before
+/// it is published again. Drains, removals and decreases are published at once. The cost: a cold host warms up slightly
+/// later.
+const ASSIGNMENT_BATCH_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of purges in effect. A change log with more within the time that purges hold is faulty; the oldest are
+/// dropped first.
+const MAX_PURGES: usize = 65_536;
+
+/// A host that is or was listed.
+struct KnownHost {
     name: String,
     address: Option<SocketAddr>,
     entry: HostEntry,
-    /// When its life began, Unix milliseconds; never goes back, whatever later lines leave out or contradict. One that
-    /// is on again after it was not has begun another, whether or not the list says so.
-    life: u64,
-    gone_at: Option<Duration>,
-    /// As it was published last.
-    line: Option<HostLine>,
+    /// When its current incarnation started. Never decreases, whatever later lines leave out or contradict. A host that is
+    /// active again after it was not has a new incarnation, whether or not the list says so.
+    incarnation_unix_ms: u64,
+    removed_at: Option<Duration>,
+    /// The line that was last published.
+    published: Option<HostLine>,
 }
 
-/// Where the module's decisions would go: a control service takes no GETs, so only its wake-up matters.
+/// Sink for the decision module. A control service takes no GETs, so only the requested wake-up is used.
 #[derive(Default)]
-struct Bell {
-    rings: Option<Duration>,
+struct WakeupTimer {
+    wakeup_after: Option<Duration>,
 }
 
-impl DecisionSink for Bell {
+impl DecisionSink for WakeupTimer {
     fn forward(&mut self, _: GetIndex, _: &Forward) {}
     fn withdraw(&mut self, _: GetIndex, _: u32) {}
     fn shed(&mut self, _: GetIndex, _: Option<Duration>) {}
     fn error(&mut self, _: GetIndex) {}
     fn release(&mut self, _: GetIndex) {}
     fn schedule_wakeup(&mut self, after: Duration) {
-        self.rings = Some(after);
+        self.wakeup_after = Some(after);
     }
     fn subscribe_host_list(&mut self) {}
     fn log(&mut self, line: std::fmt::Arguments<'_>) {
@@ -66,61 +67,65 @@
     }
 }
 
-/// A delivery service as far as proxies are told of it for good.
+/// The settings of a delivery service that are published to proxies and never change.
 struct Service {
     name: String,
     passed_on: bool,
     timeout: Duration,
 }
 
+/// The hosts, purges and delivery services, with the decision module that routes to them.
 pub struct Fleet {
     router: Router,
-    bell: Bell,
-    wakes: Duration,
-    places: HostRegistry,
+    timer: WakeupTimer,
+    wakeup_at: Duration,
+    registry: HostRegistry,
     clock: Clock,
-    hosts: Vec<Known>,
+    hosts: Vec<KnownHost>,
     by_address: HashMap<SocketAddr, HostIndex>,
-    /// By what it names, when it was purged, Unix milliseconds.
+    /// The time of each purge, in Unix milliseconds.
     purges: BTreeMap<PurgeKey, u64>,
     services: Vec<Service>,
     parent_kind: Option<usize>,
     origin_kind: usize,
-    /// By the footprint's number, what is held back from hosts of a zone; and whether their caches are chosen here.
-    held_back: Vec<f64>,
-    serves: Vec<bool>,
-    purged_within: Duration,
-    /// Terms as published last, by service.
+    /// By zone index: the fraction of keys withheld from the hosts of the zone.
+    withheld_fractions: Vec<f64>,
+    /// By zone index: whether the caches of the zone are chosen here.
+    serves_zone: Vec<bool>,
+    max_purge_delay: Duration,
+    /// The terms last published, by service.
     terms: Vec<Option<TermsLine>>,
-    routed: bool,
-    /// By tier: its assignment lags behind its hosts, and since when it stands as it is.
-    lags: [bool; 3],
+    is_static_config_published: bool,
+    /// By tier: whether the published assignment is older than the hosts.
+    is_assignment_stale: [bool; 3],
+    /// By tier: when the assignment was last published.
     assigned_at: [Duration; 3],
+    /// Number of unusable host lines and purges.
     pub faults: u64,
 }
 
 impl Fleet {
-    pub fn new(facts: &Settings, seed: u64, clock: Clock) -> Result<Self, String> {
-        let services = list(facts, "classes")?.iter().enumerate().map(|(ds, class)| {
+    pub fn new(settings: &Settings, seed: u64, clock: Clock) -> Result<Self, String> {
+        let services = list(settings, "classes")?.iter().enumerate().map(|(ds, class)| {
             let name =
                 class.get("name").and_then(|name| name.as_str()).ok_or("a delivery service has no name")?;
-            let timeout = settings::duration(facts, &format!("classes.{ds}.deadline_ms"))?;
+            let timeout = settings::duration(settings, &format!("classes.{ds}.deadline_ms"))?;
             Ok(Service {
                 name: name.to_owned(),
-                passed_on: flag(facts, &format!("domain.pass_on.{ds}")),
+                passed_on: flag(settings, &format!("domain.pass_on.{ds}")),
                 timeout,
             })
         });
         let services = services.collect::<Result<Vec<_>, String>>()?;
-        let zones = list(facts, "zones")?.len();
-        let serves = settings::served_zones(facts)?;
+        let zones = list(settings, "zones")?.len();
+        let served_zones = settings::served_zones(settings)?;
         let kind =
-            |name: &str| number(facts, name).ok().filter(|&kind| kind >= 0.0).map(|kind| kind as usize);
+            |name: &str| number(settings, name).ok().filter(|&kind| kind >= 0.0).map(|kind| kind as usize);
         Ok(Self {
-            router: Router::new(facts, seed)?,
-            bell: Bell::default(),
-            wakes: Duration::ZERO,
-            places: HostRegistry::new(facts)?,
+            router: Router::new(settings, seed)?,
+            timer: WakeupTimer::default(),
+            wakeup_at: Duration::ZERO,
+            registry: HostRegistry::new(settings)?,
             clock,
             hosts: Vec::new(),
             by_address: HashMap::new(),
@@ -129,11 +134,11 @@
             services,
             parent_kind: kind("domain.shield_kind"),
             origin_kind: kind("domain.master_kind").ok_or("setting domain.master_kind is missing")?,
-            held_back: vec![0.0; zones],
-            serves: (0..zones).map(|zone| serves.contains(&zone)).collect(),
-            purged_within: settings::duration(facts, "domain.gone_everywhere_ms")?,
-            routed: false,
-            lags: [false; 3],
+            withheld_fractions: vec![0.0; zones],
+            serves_zone: (0..zones).map(|zone| served_zones.contains(&zone)).collect(),
+            max_purge_delay: settings::duration(settings, "domain.gone_everywhere_ms")?,
+            is_static_config_published: false,
+            is_assignment_stale: [false; 3],
             assigned_at: [Duration::ZERO; 3],
             faults: 0,
         })
@@ -151,167 +156,183 @@
         &self.hosts[index].name
     }
 
-    /// The list as the module was told it.
+    /// The host list as it was passed to the decision module.
     pub fn entries(&self) -> impl Iterator<Item = &HostEntry> {
         self.hosts.iter().filter(|host| !host.name.is_empty()).map(|host| &host.entry)
     }
 
-    /// Hosts that are not gone.
+    /// Number of hosts that are not removed.
     pub fn len(&self) -> usize {
-        self.hosts.iter().filter(|host| host.gone_at.is_none()).count()
+        self.hosts.iter().filter(|host| host.removed_at.is_none()).count()
     }
 
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The host that listens at an address now.
+    /// Returns the host that listens at an address now.
     pub fn host_by_address(&self, address: SocketAddr) -> Option<HostIndex> {
-        self.by_address.get(&address).copied().filter(|&host| self.hosts[host].gone_at.is_none())
+        self.by_address.get(&address).copied().filter(|&host| self.hosts[host].removed_at.is_none())
     }
 
-    /// The host of this name now.
+    /// Returns the host that has this name now.
     pub fn host_by_name(&self, name: &str) -> Option<HostIndex> {
-        self.places.index_of(name).filter(|&host| self.hosts[host].gone_at.is_none())
+        self.registry.index_of(name).filter(|&host| self.hosts[host].removed_at.is_none())
     }
 
     pub fn service_index(&self, name: &str) -> Option<usize> {
         self.services.iter().position(|service| service.name == name)
     }
 
-    /// Takes lines of the list; whom a whole one leaves out is gone.
-    pub fn on_host_list(&mut self, lines: &[Endpoint<'_>], whole: bool, now: Duration) {
+    /// Applies lines of the host list. Hosts that a full list leaves out are removed.
+    pub fn on_host_list(&mut self, lines: &[Endpoint<'_>], is_full: bool, now: Duration) {
         let mut entries = Vec::with_capacity(lines.len());
-        if whole {
-            let told: std::collections::BTreeSet<&str> = lines.iter().map(|line| &*line.name).collect();
+        if is_full {
+            let listed: std::collections::BTreeSet<&str> = lines.iter().map(|line| &*line.name).collect();
             for host in &mut self.hosts {
-                if host.gone_at.is_none() && !told.contains(host.name.as_str()) {
+                if host.removed_at.is_none() && !listed.contains(host.name.as_str()) {
                     host.entry.status = HostStatus::Removed;
-                    host.gone_at = Some(now);
+                    host.removed_at = Some(now);
                 }
             }
         }
         for line in lines {
-            let (index, new) = self.places.register(&line.name);
-            if new {
+            let (index, is_new) = self.registry.register(&line.name);
+            if is_new {
                 let entry = HostEntry { host: index, weight: 1.0, ..HostEntry::default() };
-                let known = Known {
+                let known = KnownHost {
                     name: line.name.to_string(),
                     address: None,
                     entry,
-                    life: 0,
-                    gone_at: None,
-                    line: None,
+                    incarnation_unix_ms: 0,
+                    removed_at: None,
+                    published: None,
                 };
                 match self.hosts.get_mut(index) {
-                    Some(place) => *place = known,
+                    Some(slot) => *slot = known,
                     None => self.hosts.push(known),
                 }
             }
-            let (entry, fault) = self.places.resolve_entry(&self.hosts[index].entry, line, &self.clock, now);
-            if let Some(what) = fault {
+            let (entry, fault) =
+                self.registry.resolve_entry(&self.hosts[index].entry, line, &self.clock, now);
+            if let Some(fault) = fault {
                 self.faults += 1;
-                log::warn!(host = &*line.name; "a host's line has {what}: taken as gone");
+                log::warn!(host = &*line.name; "host list entry has {fault}: treating the host as removed");
             }
             let address = line.address.parse().ok();
             if let Some(address) = address {
-                // An address belongs to one host; the earlier one there is no more.
+                // An address belongs to one host; the earlier host no longer has it.
                 if let Some(other) = self.by_address.insert(address, index).filter(|&other| other != index) {
                     self.hosts[other].address = None;
                 }
             }
             let host = &mut self.hosts[index];
-            if let Some(left) = host.address.filter(|&left| address.is_some_and(|now| now != left)) {
-                self.by_address.remove(&left);
+            if let Some(previous) =
+                host.address.filter(|&previous| address.is_some_and(|address| address != previous))
+            {
+                self.by_address.remove(&previous);
             }
             host.address = address.or(host.address);
-            let (began, was) = (entry.start.claimed_unix_ms(), host.entry.status);
-            let again =
-                !new && was != HostStatus::Active && entry.status == HostStatus::Active && began <= host.life;
-            host.life = if again { self.clock.unix_ms(now) } else { began.max(host.life) };
+            let (started_unix_ms, previous_status) = (entry.start.claimed_unix_ms(), host.entry.status);
+            let is_undeclared_restart = !is_new
+                && previous_status != HostStatus::Active
+                && entry.status == HostStatus::Active
+                && started_unix_ms <= host.incarnation_unix_ms;
+            host.incarnation_unix_ms = if is_undeclared_restart {
+                self.clock.unix_ms(now)
+            } else {
+                started_unix_ms.max(host.incarnation_unix_ms)
+            };
             host.entry = entry;
-            host.gone_at = host.gone_at.or(Some(now)).filter(|_| entry.status == HostStatus::Removed);
-            entries.push(self.held(entry));
+            host.removed_at = host.removed_at.or(Some(now)).filter(|_| entry.status == HostStatus::Removed);
+            entries.push(self.withheld_entry(entry));
         }
-        self.told(now, |round| {
-            round.on_host_list(if whole { ListUpdate::Full } else { ListUpdate::Changes }, &entries);
+        self.run_round(now, |round| {
+            round.on_host_list(if is_full { ListUpdate::Full } else { ListUpdate::Changes }, &entries);
         });
     }
 
-    /// Holds back what zones don't take, by the footprint's numbers.
-    pub fn withhold(&mut self, parts: &[(usize, f64)], now: Duration) {
-        let moved: Vec<_> =
-            parts.iter().filter(|(zone, part)| self.held_back[*zone] != 1.0 - part).copied().collect();
-        if moved.is_empty() {
+    /// Sets the fraction of keys that each zone (by index) takes, and withholds the rest from its hosts.
+    pub fn withhold(&mut self, key_fractions: &[(usize, f64)], now: Duration) {
+        let changed_zones: Vec<_> = key_fractions
+            .iter()
+            .filter(|(zone, fraction)| self.withheld_fractions[*zone] != 1.0 - fraction)
+            .copied()
+            .collect();
+        if changed_zones.is_empty() {
             return;
         }
-        for (zone, part) in moved {
-            self.held_back[zone] = 1.0 - part;
+        for (zone, fraction) in changed_zones {
+            self.withheld_fractions[zone] = 1.0 - fraction;
         }
-        let known = self.hosts.iter().filter(|host| !host.name.is_empty() && host.gone_at.is_none());
-        let entries: Vec<_> = known.map(|host| self.held(host.entry)).collect();
-        self.told(now, |round| round.on_host_list(ListUpdate::Changes, &entries));
+        let known = self.hosts.iter().filter(|host| !host.name.is_empty() && host.removed_at.is_none());
+        let entries: Vec<_> = known.map(|host| self.withheld_entry(host.entry)).collect();
+        self.run_round(now, |round| round.on_host_list(ListUpdate::Changes, &entries));
     }
 
-    /// A host's entry as the module is told it.
-    fn held(&self, entry: HostEntry) -> HostEntry {
-        HostEntry { withheld_fraction: self.held_back[entry.zone], ..entry }
+    /// The host entry with the withheld fraction of its zone.
+    fn withheld_entry(&self, entry: HostEntry) -> HostEntry {
+        HostEntry { withheld_fraction: self.withheld_fractions[entry.zone], ..entry }
     }
 
-    /// Where a host stands, by the footprint's number.
+    /// The zone index of a host.
     pub fn zone_of(&self, index: HostIndex) -> usize {
         self.hosts[index].entry.zone
     }
 
-    fn told(&mut self, now: Duration, say: impl FnOnce(&mut myrtlegauge::decide::Round<'_, Bell>)) {
-        self.router.round(now, &mut self.bell, say);
-        if let Some(after) = self.bell.rings.take() {
-            self.wakes = now + after;
+    fn run_round(
+        &mut self,
+        now: Duration,
+        action: impl FnOnce(&mut myrtlegauge::decide::Round<'_, WakeupTimer>),
+    ) {
+        self.router.round(now, &mut self.timer, action);
+        if let Some(after) = self.timer.wakeup_after.take() {
+            self.wakeup_at = now + after;
         }
     }
 
-    /// Takes a purge; one that names nothing, or whose time is no time, is counted and says nothing.
+    /// Applies a purge. A purge that names nothing or has no valid time is counted as a fault and ignored.
     pub fn on_purge(&mut self, purge: &Purge<'_>, now: Duration) {
         let object = purge.object.as_deref().and_then(|id| u64::from_str_radix(id, 16).ok());
-        let named = object.map(PurgeKey::Object).or(purge.bucket.map(PurgeKey::Group));
-        let Some(named) = named.filter(|_| purge.unix_ms.is_finite() && purge.unix_ms >= 0.0) else {
+        let key = object.map(PurgeKey::Object).or(purge.bucket.map(PurgeKey::Group));
+        let Some(key) = key.filter(|_| purge.unix_ms.is_finite() && purge.unix_ms >= 0.0) else {
             self.faults += 1;
-            return log::warn!("a purge names neither an object nor a group, or no time");
+            return log::warn!("purge names no object or group, or has no valid time: ignoring it");
         };
         let at = purge.unix_ms as u64;
-        let known = self.purges.entry(named).or_insert(at);
+        let known = self.purges.entry(key).or_insert(at);
         *known = at.max(*known);
-        if self.purges.len() > PURGES_MOST {
-            let oldest = self.purges.iter().min_by_key(|(_, at)| **at).map(|(named, _)| *named);
-            oldest.map(|named| self.purges.remove(&named));
+        if self.purges.len() > MAX_PURGES {
+            let oldest = self.purges.iter().min_by_key(|(_, at)| **at).map(|(key, _)| *key);
+            oldest.map(|key| self.purges.remove(&key));
         }
-        self.told(now, |round| round.on_purge(named, Duration::ZERO));
+        self.run_round(now, |round| round.on_purge(key, Duration::ZERO));
     }
 
-    /// What proxies saw in an interval.
+    /// Passes the summary of one report interval to the decision module.
     pub fn on_load_summary(&mut self, summary: &Summary, now: Duration) {
-        self.told(now, |round| {
-            for &(host, success) in &summary.outcomes {
-                round.on_host_report(host, success);
+        self.run_round(now, |round| {
+            for &(host, is_success) in &summary.outcomes {
+                round.on_host_report(host, is_success);
             }
-            for &(source, ds, all, bad, out) in &summary.fills {
-                round.on_fill_report(ds, source, all, bad, out);
+            for &(source, ds, total, late_or_failed, in_flight) in &summary.fills {
+                round.on_fill_report(ds, source, total, late_or_failed, in_flight);
             }
         });
     }
 
-    /// The module's wake-up, where it is due; and hosts long gone give their index back.
+    /// Wakes the decision module when due, and frees the indices of hosts that were removed long ago.
     pub fn on_timer(&mut self, now: Duration) {
-        if now >= self.wakes {
-            self.told(now, |round| round.on_wakeup());
+        if now >= self.wakeup_at {
+            self.run_round(now, |round| round.on_wakeup());
         }
         for index in 0..self.hosts.len() {
             let host = &mut self.hosts[index];
             if !host.name.is_empty()
-                && host.gone_at.is_some_and(|at| now >= at + FORGET)
-                && host.line.is_none()
+                && host.removed_at.is_some_and(|at| now >= at + REMOVED_HOST_RETENTION)
+                && host.published.is_none()
             {
-                self.places.unregister(std::mem::take(&mut host.name).as_bytes());
+                self.registry.unregister(std::mem::take(&mut host.name).as_bytes());
                 if let Some(address) = host.address.take() {
                     self.by_address.remove(&address);
                 }
@@ -325,70 +346,73 @@
         } else if entry.kind == self.origin_kind {
             Some(Tier::Origin)
         } else {
-            self.serves.get(entry.zone).is_some_and(|serves| *serves).then_some(Tier::Caches)
+            self.serves_zone.get(entry.zone).is_some_and(|is_served| *is_served).then_some(Tier::Caches)
         }
     }
 
-    /// Publishes what differs from what was published last. `proxies`: how many share the bounds on fills.
+    /// Publishes what changed since the last time. `proxies` is the number of proxies that share the limits on fills.
     pub fn publish(&mut self, server: &mut AdsServer, proxies: usize, now: Duration, unix_ms: u64) {
-        let reading = self.router.routing_snapshot(now);
+        let snapshot = self.router.routing_snapshot(now);
         let mut shares: Vec<Option<HostShare>> = vec![None; self.hosts.len()];
-        for share in reading.caches.iter().chain(&reading.parents).chain(&reading.origin) {
+        for share in snapshot.caches.iter().chain(&snapshot.parents).chain(&snapshot.origin) {
             shares[share.host] = Some(*share);
         }
-        let (mut changed, mut ended) = ([false; 3], [false; 3]);
+        let (mut changed, mut has_urgent_change) = ([false; 3], [false; 3]);
         for (index, &share) in shares.iter().enumerate() {
-            let line = self.line(index, share, proxies);
+            let line = self.host_line(index, share, proxies);
             let host = &mut self.hosts[index];
-            if line == host.line {
+            if line == host.published {
                 continue;
             }
-            let before = std::mem::replace(&mut host.line, line);
-            let (old, new) = (before.as_ref(), host.line.as_ref());
-            // A host that drains, is gone, or is another process at the same address, is urgent.
-            let life = |line: Option<&HostLine>| line.map(|line| (line.life, line.draining, line.address));
-            let urgent = old.is_some() && life(old) != life(new);
-            // So is one whose zone is left.
-            let held_back = self.held_back.get(host.entry.zone).is_some_and(|held| *held >= 1.0);
-            let urgent = urgent || held_back && old.is_some_and(|line| line.part > 0.0);
-            let (at, name) = match (old, new) {
+            let previous = std::mem::replace(&mut host.published, line);
+            let (old, new) = (previous.as_ref(), host.published.as_ref());
+            // A host that drains, is removed, or is another process at the same address is urgent.
+            let identity =
+                |line: Option<&HostLine>| line.map(|line| (line.life, line.draining, line.address));
+            let is_urgent = old.is_some() && identity(old) != identity(new);
+            // So is a host whose zone is left.
+            let is_zone_left =
+                self.withheld_fractions.get(host.entry.zone).is_some_and(|fraction| *fraction >= 1.0);
+            let is_urgent = is_urgent || is_zone_left && old.is_some_and(|line| line.part > 0.0);
+            let (tier, name) = match (old, new) {
                 (_, Some(line)) | (Some(line), None) => (line.tier as usize, line.resource_name()),
                 (None, None) => continue,
             };
-            if let Some(moved) = old.filter(|old| new.is_some_and(|new| new.tier != old.tier)) {
-                (changed[moved.tier as usize], ended[moved.tier as usize]) = (true, true);
-                server.put(ResourceType::Host, &moved.resource_name(), None, true);
+            if let Some(previous) = old.filter(|old| new.is_some_and(|new| new.tier != old.tier)) {
+                (changed[previous.tier as usize], has_urgent_change[previous.tier as usize]) = (true, true);
+                server.put(ResourceType::Host, &previous.resource_name(), None, true);
             }
-            let part = |line: Option<&HostLine>| line.map_or(0.0, |line| line.part);
-            self.lags[at] = true;
-            // A new host is named at once: nothing is gathered while a tier comes into being.
-            changed[at] |= urgent || old.is_none() || part(new) < part(old);
-            ended[at] |= urgent;
-            server.put(ResourceType::Host, &name, new.map(host_resource), urgent);
+            let key_fraction = |line: Option<&HostLine>| line.map_or(0.0, |line| line.part);
+            self.is_assignment_stale[tier] = true;
+            // A new host is published at once: nothing is collected while a tier is being set up.
+            changed[tier] |= is_urgent || old.is_none() || key_fraction(new) < key_fraction(old);
+            has_urgent_change[tier] |= is_urgent;
+            server.put(ResourceType::Host, &name, new.map(host_resource), is_urgent);
         }
         for (tier, changed) in changed.iter_mut().enumerate() {
-            *changed |= self.lags[tier] && now >= self.assigned_at[tier] + GATHER;
+            *changed |=
+                self.is_assignment_stale[tier] && now >= self.assigned_at[tier] + ASSIGNMENT_BATCH_INTERVAL;
             if *changed {
-                (self.lags[tier], self.assigned_at[tier]) = (false, now);
+                (self.is_assignment_stale[tier], self.assigned_at[tier]) = (false, now);
             }
         }
-        self.publish_rest(server, &reading, changed, ended, unix_ms);
+        self.publish_derived(server, &snapshot, changed, has_urgent_change, unix_ms);
     }
 
-    fn line(&self, index: HostIndex, share: Option<HostShare>, proxies: usize) -> Option<HostLine> {
+    fn host_line(&self, index: HostIndex, share: Option<HostShare>, proxies: usize) -> Option<HostLine> {
         let host = &self.hosts[index];
         let (entry, address) = (&host.entry, host.address?);
         let tier = self.tier(entry).filter(|_| entry.status != HostStatus::Removed)?;
-        // One that drains keeps its points, so that proxies need not lay their rings anew at once.
-        let kept = host.line.as_ref().filter(|_| entry.status == HostStatus::Draining);
-        let points = share.map(|share| share.points).or(kept.map(|line| line.points));
-        let near = share.map(|share| share.is_near).or(kept.map(|line| line.near));
+        // A draining host keeps its points, so that proxies need not rebuild their rings at once.
+        let previous = host.published.as_ref().filter(|_| entry.status == HostStatus::Draining);
+        let points = share.map(|share| share.points).or(previous.map(|line| line.points));
+        let near = share.map(|share| share.is_near).or(previous.map(|line| line.near));
         let fills = share.map_or(1.0, |share| (share.max_fills / proxies.max(1) as f64).ceil().max(1.0));
         Some(HostLine {
             name: host.name.clone(),
             address,
             tier,
-            life: host.life,
+            life: host.incarnation_unix_ms,
             draining: entry.status == HostStatus::Draining,
             mark: entry.id_hash,
             points: points.unwrap_or(0),
@@ -398,26 +422,33 @@
         })
     }
 
-    fn publish_rest(
+    fn publish_derived(
         &mut self,
         server: &mut AdsServer,
-        reading: &RoutingSnapshot,
+        snapshot: &RoutingSnapshot,
         changed: [bool; 3],
-        ended: [bool; 3],
+        has_urgent_change: [bool; 3],
         unix_ms: u64,
     ) {
-        for tier in TIERS.into_iter().filter(|&tier| changed[tier as usize] || !self.routed) {
-            let lines = self.hosts.iter().filter_map(|host| host.line.as_ref());
+        for tier in
+            TIERS.into_iter().filter(|&tier| changed[tier as usize] || !self.is_static_config_published)
+        {
+            let lines = self.hosts.iter().filter_map(|host| host.published.as_ref());
             let mut lines: Vec<_> = lines.filter(|line| line.tier == tier).collect();
             lines.sort_by(|a, b| a.name.cmp(&b.name));
-            let said: String = lines.iter().map(|line| line.version_text()).collect();
+            let version_text: String = lines.iter().map(|line| line.version_text()).collect();
             let body = messages::assignment_body(tier.name(), &lines);
-            let resource = resource(0, 0, &said, body, true);
-            server.put(ResourceType::Assignment, tier.name(), Some(resource), ended[tier as usize]);
+            let resource = resource(0, 0, &version_text, body, true);
+            server.put(
+                ResourceType::Assignment,
+                tier.name(),
+                Some(resource),
+                has_urgent_change[tier as usize],
+            );
         }
-        if !std::mem::replace(&mut self.routed, true) {
+        if !std::mem::replace(&mut self.is_static_config_published, true) {
             for name in TIERS.map(Tier::name).into_iter().chain([BY_HOST_CLUSTER]) {
-                let body = messages::cluster_body(name, CONNECT);
+                let body = messages::cluster_body(name, CONNECT_TIMEOUT);
                 server.put(ResourceType::Cluster, name, Some(resource(0, 0, name, body, false)), false);
             }
             let body = messages::assignment_body(BY_HOST_CLUSTER, &[]);
@@ -427,54 +458,64 @@
                 Some(resource(0, 0, BY_HOST_CLUSTER, body, true)),
                 false,
             );
-            let lines = self.services.iter().zip(&reading.terms).map(|(service, terms)| RouteLine {
+            let lines = self.services.iter().zip(&snapshot.terms).map(|(service, terms)| RouteLine {
                 service: &service.name,
-                again: terms.is_repeatable,
+                is_repeatable: terms.is_repeatable,
                 timeout: service.timeout,
-                forwards: reading.max_forwards,
+                max_forwards: snapshot.max_forwards,
             });
             let lines: Vec<_> = lines.collect();
-            let said: String = lines
+            let version_text: String = lines
                 .iter()
-                .map(|l| format!("{} {} {:?} {};", l.service, l.again, l.timeout, l.forwards))
+                .map(|line| {
+                    format!(
+                        "{} {} {:?} {};",
+                        line.service, line.is_repeatable, line.timeout, line.max_forwards
+                    )
+                })
                 .collect();
             let body = messages::routes_body(&lines);
-            server.put(ResourceType::Route, ROUTE_TABLE, Some(resource(0, 0, &said, body, false)), false);
+            server.put(
+                ResourceType::Route,
+                ROUTE_TABLE,
+                Some(resource(0, 0, &version_text, body, false)),
+                false,
+            );
         }
-        for (ds, (service, terms)) in self.services.iter().zip(&reading.terms).enumerate() {
+        for (ds, (service, terms)) in self.services.iter().zip(&snapshot.terms).enumerate() {
             let line = TermsLine {
                 accepted_age: terms.accepted_age,
                 renew: terms.renew,
                 again: terms.is_repeatable,
                 passed_on: service.passed_on,
-                spared: reading.is_origin_spared,
-                forwards: reading.max_forwards,
+                spared: snapshot.is_origin_spared,
+                forwards: snapshot.max_forwards,
                 timeout: service.timeout,
             };
             if self.terms[ds] != Some(line) {
                 self.terms[ds] = Some(line);
                 let name = format!("service/{}", service.name);
-                let put = resource(0, 0, &format!("{line:?}"), line.encode_notice(&name), false);
-                server.put(ResourceType::Notice, &name, Some(put), false);
+                let notice = resource(0, 0, &format!("{line:?}"), line.encode_notice(&name), false);
+                server.put(ResourceType::Notice, &name, Some(notice), false);
             }
         }
-        let long = self.purged_within.as_millis() as u64;
-        let over = self.purges.extract_if(.., |_, at| unix_ms >= at.saturating_add(long));
-        for (named, _) in over.collect::<Vec<_>>() {
-            server.put(ResourceType::Notice, &purge_resource_name(named), None, false);
+        let max_delay_ms = self.max_purge_delay.as_millis() as u64;
+        let expired = self.purges.extract_if(.., |_, at| unix_ms >= at.saturating_add(max_delay_ms));
+        for (key, _) in expired.collect::<Vec<_>>() {
+            server.put(ResourceType::Notice, &purge_resource_name(key), None, false);
         }
-        for (&named, &at) in &self.purges {
-            let name = purge_resource_name(named);
-            let known = server.cache().get(ResourceType::Notice, &name);
-            if known.is_none_or(|known| known.version.incarnation < at) {
-                let line = PurgeLine { at_unix_ms: at, until_unix_ms: at.saturating_add(long) };
-                let put = resource(at, 1, &format!("{line:?}"), line.encode_notice(&name), false);
-                server.put(ResourceType::Notice, &name, Some(put), true);
+        for (&key, &at) in &self.purges {
+            let name = purge_resource_name(key);
+            let published = server.cache().get(ResourceType::Notice, &name);
+            if published.is_none_or(|published| published.version.incarnation < at) {
+                let line = PurgeLine { at_unix_ms: at, until_unix_ms: at.saturating_add(max_delay_ms) };
+                let notice = resource(at, 1, &format!("{line:?}"), line.encode_notice(&name), false);
+                server.put(ResourceType::Notice, &name, Some(notice), true);
             }
         }
     }
 
-    /// Hosts that the operator file names, as lines of a list.
+    /// Applies the hosts of the operator file as a full host list.
     pub fn load_file_hosts(&mut self, hosts: &[myrtlegauge_operator::file::ListedHost], now: Duration) {
         let lines: Vec<_> = hosts
             .iter()
@@ -493,14 +534,15 @@
     }
 }
 
-pub fn purge_resource_name(named: PurgeKey) -> String {
-    match named {
+/// The resource name of a purge.
+pub fn purge_resource_name(key: PurgeKey) -> String {
+    match key {
         PurgeKey::Object(object) => format!("purge/object/{object:016x}"),
         PurgeKey::Group(group) => format!("purge/group/{group}"),
     }
 }
 
-/// What a purge's resource name names.
+/// The inverse of `purge_resource_name`. None for other resource names.
 pub fn parse_purge_resource_name(name: &str) -> Option<PurgeKey> {
     let rest = name.strip_prefix("purge/")?;
     let object = rest.strip_prefix("object/").and_then(|id| u64::from_str_radix(id, 16).ok());
@@ -508,8 +550,12 @@
     object.map(PurgeKey::Object).or(group.map(PurgeKey::Group))
 }
 
-fn resource(life: u64, step: u64, said: &str, body: Vec<u8>, is_leased: bool) -> Resource {
-    Resource { version: Version::new(life, step, said.as_bytes()), body: body.into(), is_leased }
+fn resource(incarnation: u64, revision: u64, version_text: &str, body: Vec<u8>, is_leased: bool) -> Resource {
+    Resource {
+        version: Version::new(incarnation, revision, version_text.as_bytes()),
+        body: body.into(),
+        is_leased,
+    }
 }
 
 fn host_resource(line: &HostLine) -> Resource {
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -1,30 +1,34 @@
-//! For how long a proxy may go on without hearing from its control service.
+//! The lease: for how long a proxy may continue without a message from its control service.
 //!
-//! A proxy that is cut off can't be told of a drain or a purge, so what it was told holds for a while only: a lease. It is
-//! counted from when the control service wrote the message (the message says when), not from when it came, for one that
-//! was long on its way must not last longer. What is told at a time `t` is written after every lease stamped before `t`
-//! on the same ordered stream; so a proxy that does not know of it has a lease stamped at `t` or before. It stops using
-//! it at `t + ttl` by a clock that is at most `clock error` off, and what it sent just before is at its host `MAX_SEND_DELAY`
-//! later. Hence `ttl + clock error + MAX_SEND_DELAY = the shortest grace`.
+//! A proxy that is cut off can't be told of a drain or a purge, so the published state holds for a limited time only, the
+//! lease. It is counted from when the control service wrote the message (its nonce contains that time), not from when the
+//! message arrived, so that a message with a long delay in transit does not last longer.
+//!
+//! A drain or purge published at time `t` is written after every lease stamped before `t` on the same ordered stream, so a
+//! proxy that does not know of it has a lease stamped at `t` or before. Such a proxy stops using the old state at `t + ttl`
+//! by a clock that is at most `clock error` off, and what it sent just before reaches its host `MAX_SEND_DELAY` later.
+//! Hence `ttl + clock error + MAX_SEND_DELAY = the shortest grace`.
 
 use std::time::Duration;
 
-/// From a proxy's look at its lease until the first byte of the GET is at its host: some wake-ups of a busy machine.
+/// From a proxy's check of its lease until the first byte of the GET reaches its host: some wake-ups of a busy machine.
 const MAX_SEND_DELAY: Duration = Duration::from_millis(30);
-/// Heartbeats in a lease: it survives a few that are late, at the cost of as many small messages.
+/// Heartbeats in a lease. It survives a few late ones, at the cost of as many small messages.
 const HEARTBEATS_PER_LEASE: u32 = 5;
 
+/// Time to live of the published state and how often it is renewed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// How long what was told holds, from the stamp of the message.
+    /// Time to live, counted from the timestamp of the message.
     pub ttl: Duration,
-    /// How often it is renewed.
+    /// Interval between renewals.
     pub renew_interval: Duration,
 }
 
 impl Lease {
-    /// From the graces after which a drain and a purge must have taken effect everywhere. A clock error that leaves no
-    /// time gives a lease of one millisecond: proxies shed, and break nothing. The operator file refuses such errors.
+    /// Derives the lease from the graces within which a drain and a purge must take effect everywhere. A clock error that
+    /// leaves no time gives a lease of one millisecond: proxies shed, but break no rule. The operator file rejects such
+    /// clock errors.
     pub fn from_grace_periods(drain_grace: Duration, purge_grace: Duration, clock_error: Duration) -> Self {
         let ttl = drain_grace
             .min(purge_grace)
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,12 @@
-//! Decisions over xDS. A control service publishes what the decision module decides, and proxies that take GETs
+//! Routing decisions over xDS. A control service publishes what the decision module decides, and proxies that take GETs
 //! elsewhere follow it.
 //!
-//! Without I/O: `lease` (how long what was told holds), `shelf` (what is published), `server` (the state of all
-//! streams), `reports` (what proxies saw), `fleet` (the hosts, purges and the decision module), `messages` (the published
-//! messages), `follower` (the core of a proxy that follows). With it: `service` (the loop), `grpc` (the published
-//! services, on tokio on a thread of its own), `shown` (what operators are shown).
+//! Modules without I/O: `lease` (how long the published state holds), `resource_cache` (the published resources),
+//! `ads_server` (the state of all ADS streams), `load_reports` (what proxies report), `fleet` (the hosts, purges and the
+//! decision module), `messages` (encoding and decoding of the published messages), `follower` (the core of a proxy that
+//! follows a control service), `session` (the streams of a follower), `zoning` (verdicts on zones). Modules with I/O:
+//! `service` (the event loop), `grpc` (the published services, on tokio on a thread of its own), `client_status` (status
+//! for operators).
 
 pub mod ads_server;
 pub mod client_status;
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -1,4 +1,4 @@
-//! The published messages that carry our decisions, made and read in one place.
+//! Encoding and decoding of the published xDS messages that carry the routing decisions.
 
 use crate::resource_cache::ResourceType;
 use envoy_types::pb::envoy::config::cluster::v3 as cluster;
@@ -12,14 +12,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Under this name our part of an endpoint's metadata stands.
+/// Name under which the metadata of this program is stored in the metadata of an endpoint.
 pub const METADATA_NAMESPACE: &str = "myrtlegauge";
-const STRUCT: &str = "type.googleapis.com/google.protobuf.Struct";
-/// The assignment whose hosts are resources of their own.
+const STRUCT_TYPE_URL: &str = "type.googleapis.com/google.protobuf.Struct";
+/// Name of the cluster and assignment whose hosts are resources of their own.
 pub const BY_HOST_CLUSTER: &str = "caches-by-host";
 pub const ROUTE_TABLE: &str = "gets";
 
-/// What a host is to this location.
+/// The role of a host for this location.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
     Caches,
@@ -43,33 +43,37 @@
     }
 }
 
-/// A host as proxies are told of it.
+/// A host as it is published to proxies. Its whole `Debug` text is hashed into versions that instances compare, so struct
+/// name, field names and field order are part of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostLine {
     pub name: String,
     pub address: SocketAddr,
     pub tier: Tier,
-    /// When its life began, Unix milliseconds; with `draining` the order of what is told of it.
+    /// When its incarnation started, in Unix milliseconds. Orders the facts about a host, together with `draining`.
     pub life: u64,
     pub draining: bool,
+    /// Hash of the host id.
     pub mark: u64,
+    /// Points on the ring.
     pub points: u64,
-    /// Of its keys; 0: it takes none now.
+    /// Fraction of its keys that it takes. 0: it takes none now.
     pub part: f64,
     pub near: bool,
     /// FillCounts that one proxy may have out there.
     pub fills: u32,
 }
 
-/// A purge as proxies are told of it.
+/// A purge as it is published to proxies. Its `Debug` text is hashed into versions, as for [`HostLine`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PurgeLine {
     pub at_unix_ms: u64,
-    /// From then on no copy from before it is anywhere.
+    /// From this time on, no copy from before the purge exists anywhere.
     pub until_unix_ms: u64,
 }
 
-/// What a service's GETs are sent with.
+/// The terms with which GETs of a delivery service are forwarded. Its `Debug` text is hashed into versions, as for
+/// [`HostLine`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TermsLine {
     pub accepted_age: Duration,
@@ -81,39 +85,41 @@
     pub timeout: Duration,
 }
 
-fn number(n: f64) -> Value {
-    Value { kind: Some(ProtoValue::NumberValue(n)) }
+fn number_value(number: f64) -> Value {
+    Value { kind: Some(ProtoValue::NumberValue(number)) }
 }
 
-fn text(text: String) -> Value {
+fn text_value(text: String) -> Value {
     Value { kind: Some(ProtoValue::StringValue(text)) }
 }
 
-fn yes(yes: bool) -> Value {
-    Value { kind: Some(ProtoValue::BoolValue(yes)) }
+fn bool_value(flag: bool) -> Value {
+    Value { kind: Some(ProtoValue::BoolValue(flag)) }
 }
 
 fn fields<const N: usize>(pairs: [(&str, Value); N]) -> Struct {
     Struct { fields: pairs.into_iter().map(|(name, value)| (name.to_owned(), value)).collect() }
 }
 
-fn told_number(fields: &Struct, name: &str) -> Option<f64> {
+fn number_field(fields: &Struct, name: &str) -> Option<f64> {
     match fields.fields.get(name)?.kind.as_ref()? {
-        ProtoValue::NumberValue(n) => Some(*n).filter(|n| n.is_finite() && *n >= 0.0),
+        ProtoValue::NumberValue(number) => {
+            Some(*number).filter(|number| number.is_finite() && *number >= 0.0)
+        }
         _ => None,
     }
 }
 
-fn told_text<'a>(fields: &'a Struct, name: &str) -> Option<&'a str> {
+fn text_field<'a>(fields: &'a Struct, name: &str) -> Option<&'a str> {
     match fields.fields.get(name)?.kind.as_ref()? {
         ProtoValue::StringValue(text) => Some(text),
         _ => None,
     }
 }
 
-fn told_flag(fields: &Struct, name: &str) -> Option<bool> {
+fn flag_field(fields: &Struct, name: &str) -> Option<bool> {
     match fields.fields.get(name)?.kind.as_ref()? {
-        ProtoValue::BoolValue(yes) => Some(*yes),
+        ProtoValue::BoolValue(flag) => Some(*flag),
         _ => None,
     }
 }
@@ -148,7 +154,7 @@
         format!("{}/{}", self.tier.name(), self.name)
     }
 
-    /// All that it says, in a form that is the same wherever it is made.
+    /// The text that is hashed into versions. It is the same on every instance.
     pub fn version_text(&self) -> String {
         format!("{self:?}")
     }
@@ -159,20 +165,20 @@
             (false, true) => core::HealthStatus::Healthy,
             (false, false) => core::HealthStatus::Unhealthy,
         };
-        // Those who know ring hashing alone spread keys by this; it is never zero, which the type does not allow.
+        // Proxies that only know ring hashing spread keys by this weight. The message type does not allow zero.
         let weight = (self.points as f64 * self.part).ceil().max(1.0) as u32;
-        let fields_in = fields([
-            ("host", text(self.name.clone())),
-            ("tier", text(self.tier.name().into())),
-            ("life", number(self.life as f64)),
-            ("mark", text(format!("{:016x}", self.mark))),
-            ("points", number(self.points as f64)),
-            ("part", number(if self.draining { 0.0 } else { self.part })),
-            ("near", yes(self.near)),
-            ("fills", number(self.fills.into())),
+        let own_fields = fields([
+            ("host", text_value(self.name.clone())),
+            ("tier", text_value(self.tier.name().into())),
+            ("life", number_value(self.life as f64)),
+            ("mark", text_value(format!("{:016x}", self.mark))),
+            ("points", number_value(self.points as f64)),
+            ("part", number_value(if self.draining { 0.0 } else { self.part })),
+            ("near", bool_value(self.near)),
+            ("fills", number_value(self.fills.into())),
         ]);
-        let ring = fields([("hash_key", text(format!("{:016x}", self.mark)))]);
-        let metadata = [(METADATA_NAMESPACE.to_owned(), fields_in), ("envoy.lb".to_owned(), ring)].into();
+        let ring = fields([("hash_key", text_value(format!("{:016x}", self.mark)))]);
+        let metadata = [(METADATA_NAMESPACE.to_owned(), own_fields), ("envoy.lb".to_owned(), ring)].into();
         endpoint::LbEndpoint {
             health_status: health.into(),
             metadata: Some(core::Metadata { filter_metadata: metadata, ..Default::default() }),
@@ -184,27 +190,30 @@
         }
     }
 
-    /// Reads one back; what is wrong with one that is not fields_in.
+    /// Decodes an endpoint. Fails with what is missing or invalid if it was not made by a control service of this kind.
     pub fn from_endpoint(message: &endpoint::LbEndpoint) -> Result<Self, &'static str> {
-        let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(at)) = &message.host_identifier else {
-            return Err("an endpoint without an address");
+        let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint)) = &message.host_identifier else {
+            return Err("endpoint has no address");
         };
         let address =
-            at.address.as_ref().and_then(parse_address).ok_or("an endpoint without an IP address")?;
-        let metadata = message.metadata.as_ref().and_then(|m| m.filter_metadata.get(METADATA_NAMESPACE));
-        let fields_in = metadata.ok_or("an endpoint without our metadata")?;
-        let number = |name: &str| told_number(fields_in, name).ok_or("an endpoint's metadata lacks a number");
-        let text = |name: &str| told_text(fields_in, name).ok_or("an endpoint's metadata lacks a text");
+            endpoint.address.as_ref().and_then(parse_address).ok_or("endpoint has no IP address")?;
+        let metadata =
+            message.metadata.as_ref().and_then(|metadata| metadata.filter_metadata.get(METADATA_NAMESPACE));
+        let fields = metadata.ok_or("an endpoint without our metadata")?;
+        let number =
+            |name: &str| number_field(fields, name).ok_or("endpoint metadata lacks a required number");
+        let text = |name: &str| text_field(fields, name).ok_or("endpoint metadata lacks a required text");
         Ok(Self {
             name: text("host")?.to_owned(),
             address,
-            tier: Tier::from_name(text("tier")?).ok_or("an endpoint of no tier")?,
+            tier: Tier::from_name(text("tier")?).ok_or("endpoint has an unknown tier")?,
             life: number("life")? as u64,
             draining: message.health_status == core::HealthStatus::Draining as i32,
-            mark: u64::from_str_radix(text("mark")?, 16).map_err(|_| "an endpoint's mark is no number")?,
+            mark: u64::from_str_radix(text("mark")?, 16)
+                .map_err(|_| "endpoint mark is not a hexadecimal number")?,
             points: (number("points")? as u64).min(1 << 16),
             part: number("part")?.min(1.0),
-            near: told_flag(fields_in, "near").unwrap_or(true),
+            near: flag_field(fields, "near").unwrap_or(true),
             fills: number("fills")? as u32,
         })
     }
@@ -213,39 +222,42 @@
 fn notice(name: &str, value: Struct) -> Vec<u8> {
     core::TypedExtensionConfig {
         name: name.to_owned(),
-        typed_config: Some(Any { type_url: STRUCT.into(), value: value.encode_to_vec() }),
+        typed_config: Some(Any { type_url: STRUCT_TYPE_URL.into(), value: value.encode_to_vec() }),
     }
     .encode_to_vec()
 }
 
-/// Reads the fields of a notice.
+/// Decodes a notice into its name and fields.
 pub fn decode_notice(body: &[u8]) -> Result<(String, Struct), &'static str> {
-    let read = core::TypedExtensionConfig::decode(body).map_err(|_| "a notice that can't be read")?;
-    let held = read.typed_config.filter(|any| any.type_url == STRUCT).ok_or("a notice of an unknown form")?;
-    let fields = Struct::decode(&*held.value).map_err(|_| "a notice whose fields can't be read")?;
-    Ok((read.name, fields))
+    let notice = core::TypedExtensionConfig::decode(body).map_err(|_| "notice can't be decoded")?;
+    let config = notice
+        .typed_config
+        .filter(|any| any.type_url == STRUCT_TYPE_URL)
+        .ok_or("notice has an unknown type of content")?;
+    let fields = Struct::decode(&*config.value).map_err(|_| "notice fields can't be decoded")?;
+    Ok((notice.name, fields))
 }
 
 impl PurgeLine {
     pub fn encode_notice(&self, name: &str) -> Vec<u8> {
-        let at = ("at_unix_ms", number(self.at_unix_ms as f64));
-        notice(name, fields([at, ("until_unix_ms", number(self.until_unix_ms as f64))]))
+        let at = ("at_unix_ms", number_value(self.at_unix_ms as f64));
+        notice(name, fields([at, ("until_unix_ms", number_value(self.until_unix_ms as f64))]))
     }
 
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
-        let number = |name: &str| told_number(fields, name).ok_or("a purge lacks a time");
+        let number = |name: &str| number_field(fields, name).ok_or("purge notice lacks a time");
         Ok(Self { at_unix_ms: number("at_unix_ms")? as u64, until_unix_ms: number("until_unix_ms")? as u64 })
     }
 }
 
-/// A zone's verdict as dispatchers are told of it, and as they tell what they hold.
+/// The verdict on a zone, as published to dispatchers and as they report which verdict they hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneNotice {
     pub epoch: u64,
     pub stage: Stage,
     pub part: f64,
     pub sheds: f64,
-    /// When it takes effect.
+    /// When the verdict takes effect.
     pub from_unix_ms: u64,
 }
 
@@ -278,11 +290,11 @@
     fn fields(&self) -> Struct {
         let stage = STAGES.iter().find(|(stage, _)| *stage == self.stage).map_or("serving", |(_, name)| name);
         fields([
-            ("epoch", number(self.epoch as f64)),
-            ("stage", text(stage.into())),
-            ("part", number(self.part)),
-            ("sheds", number(self.sheds)),
-            ("from_unix_ms", number(self.from_unix_ms as f64)),
+            ("epoch", number_value(self.epoch as f64)),
+            ("stage", text_value(stage.into())),
+            ("part", number_value(self.part)),
+            ("sheds", number_value(self.sheds)),
+            ("from_unix_ms", number_value(self.from_unix_ms as f64)),
         ])
     }
 
@@ -291,9 +303,10 @@
     }
 
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
-        let number = |name: &str| told_number(fields, name).ok_or("a zone's verdict lacks a number");
-        let stage = told_text(fields, "stage").ok_or("a zone's verdict lacks its stage")?;
-        let stage = STAGES.iter().find(|(_, name)| *name == stage).ok_or("a zone's stage is not known")?;
+        let number = |name: &str| number_field(fields, name).ok_or("zone verdict lacks a required number");
+        let stage = text_field(fields, "stage").ok_or("zone verdict lacks its stage")?;
+        let stage =
+            STAGES.iter().find(|(_, name)| *name == stage).ok_or("zone verdict has an unknown stage")?;
         Ok(Self {
             epoch: number("epoch")? as u64,
             stage: stage.0,
@@ -304,28 +317,30 @@
     }
 }
 
-/// A host's name beside its load, where it is reached by other addresses than the list tells.
+/// Metadata with the host name in a load report, for hosts reached by other addresses than the list has.
 pub fn host_metadata(name: &str) -> Struct {
-    fields([("host", text(name.to_owned()))])
+    fields([("host", text_value(name.to_owned()))])
 }
 
+/// The inverse of [`host_metadata`].
 pub fn host_name_from_metadata(metadata: &Struct) -> Option<&str> {
-    told_text(metadata, "host")
+    text_field(metadata, "host")
 }
 
-/// GETs that a dispatcher took since its last report, by its node's metadata.
+/// The number of GETs that a dispatcher took since its last report, from the metadata of its node.
 pub fn gets_taken(metadata: &Struct) -> u64 {
-    told_number(metadata, "taken").unwrap_or(0.0) as u64
+    number_field(metadata, "taken").unwrap_or(0.0) as u64
 }
 
-/// What a dispatcher holds of zones and how many GETs it took, as a node's metadata.
+/// Node metadata with the zone verdicts that a dispatcher holds and the number of GETs that it took.
 pub fn held_verdicts_metadata<'a>(held: impl Iterator<Item = (&'a str, ZoneNotice)>, taken: u64) -> Struct {
     let fields = held.map(|(zone, line)| {
         (zone_resource_name(zone), Value { kind: Some(ProtoValue::StructValue(line.fields())) })
     });
-    Struct { fields: fields.chain([("taken".to_owned(), number(taken as f64))]).collect() }
+    Struct { fields: fields.chain([("taken".to_owned(), number_value(taken as f64))]).collect() }
 }
 
+/// The verdict on a zone that a dispatcher holds, from the metadata of its node.
 pub fn held_verdict(metadata: &Struct, zone: &str) -> Option<ZoneNotice> {
     match metadata.fields.get(&zone_resource_name(zone))?.kind.as_ref()? {
         ProtoValue::StructValue(fields) => ZoneNotice::from_fields(fields).ok(),
@@ -338,36 +353,36 @@
         notice(
             name,
             fields([
-                ("accepted_age_ms", number(self.accepted_age.as_secs_f64() * 1e3)),
-                ("renew", yes(self.renew)),
-                ("again", yes(self.again)),
-                ("passed_on", yes(self.passed_on)),
-                ("spared", yes(self.spared)),
-                ("forwards", number(self.forwards.into())),
-                ("timeout_ms", number(self.timeout.as_secs_f64() * 1e3)),
+                ("accepted_age_ms", number_value(self.accepted_age.as_secs_f64() * 1e3)),
+                ("renew", bool_value(self.renew)),
+                ("again", bool_value(self.again)),
+                ("passed_on", bool_value(self.passed_on)),
+                ("spared", bool_value(self.spared)),
+                ("forwards", number_value(self.forwards.into())),
+                ("timeout_ms", number_value(self.timeout.as_secs_f64() * 1e3)),
             ]),
         )
     }
 
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
-        let span = |name: &str| {
-            let ms = told_number(fields, name).ok_or("a service's terms lack a time")?;
-            Duration::try_from_secs_f64(ms / 1e3).map_err(|_| "a service's terms have no time")
+        let duration = |name: &str| {
+            let ms = number_field(fields, name).ok_or("service terms lack a duration")?;
+            Duration::try_from_secs_f64(ms / 1e3).map_err(|_| "service terms have an invalid duration")
         };
-        let flag = |name: &str| told_flag(fields, name).ok_or("a service's terms lack a flag");
+        let flag = |name: &str| flag_field(fields, name).ok_or("service terms lack a flag");
         Ok(Self {
-            accepted_age: span("accepted_age_ms")?,
+            accepted_age: duration("accepted_age_ms")?,
             renew: flag("renew")?,
             again: flag("again")?,
             passed_on: flag("passed_on")?,
             spared: flag("spared")?,
-            forwards: told_number(fields, "forwards").ok_or("a service's terms lack a number")? as u32,
-            timeout: span("timeout_ms")?,
+            forwards: number_field(fields, "forwards").ok_or("service terms lack a number")? as u32,
+            timeout: duration("timeout_ms")?,
         })
     }
 }
 
-fn ads() -> core::ConfigSource {
+fn ads_config_source() -> core::ConfigSource {
     core::ConfigSource {
         resource_api_version: core::ApiVersion::V3.into(),
         config_source_specifier: Some(core::config_source::ConfigSourceSpecifier::Ads(Default::default())),
@@ -375,31 +390,32 @@
     }
 }
 
-/// A tier as a cluster; `by_host`: of hosts that are resources of their own.
-pub fn cluster_body(name: &str, connect: Duration) -> Vec<u8> {
+/// Encodes a tier as a cluster.
+pub fn cluster_body(name: &str, connect_timeout: Duration) -> Vec<u8> {
     cluster::Cluster {
         name: name.to_owned(),
         cluster_discovery_type: Some(cluster::cluster::ClusterDiscoveryType::Type(
             cluster::cluster::DiscoveryType::Eds.into(),
         )),
         eds_cluster_config: Some(cluster::cluster::EdsClusterConfig {
-            eds_config: Some(ads()),
+            eds_config: Some(ads_config_source()),
             service_name: name.to_owned(),
         }),
-        connect_timeout: Some(encode_duration(connect)),
+        connect_timeout: Some(encode_duration(connect_timeout)),
         lb_policy: cluster::cluster::LbPolicy::RingHash.into(),
         ..Default::default()
     }
     .encode_to_vec()
 }
 
-/// The hosts of a tier; or, for those who take hosts one by one, where they are.
+/// Encodes the assignment of a tier with its hosts. For [`BY_HOST_CLUSTER`] it refers to the collection of host resources
+/// instead.
 pub fn assignment_body(name: &str, lines: &[&HostLine]) -> Vec<u8> {
     let locality = if name == BY_HOST_CLUSTER {
         endpoint::LocalityLbEndpoints {
             lb_config: Some(endpoint::locality_lb_endpoints::LbConfig::LedsClusterLocalityConfig(
                 endpoint::LedsClusterLocalityConfig {
-                    leds_config: Some(ads()),
+                    leds_config: Some(ads_config_source()),
                     leds_collection_name: "caches/*".into(),
                 },
             )),
@@ -419,21 +435,21 @@
     .encode_to_vec()
 }
 
-/// A delivery service as a route.
+/// A delivery service as an entry of the route table.
 pub struct RouteLine<'a> {
     pub service: &'a str,
-    pub again: bool,
+    pub is_repeatable: bool,
     pub timeout: Duration,
-    pub forwards: u32,
+    pub max_forwards: u32,
 }
 
-/// Answers that prove that a GET never ran: a miss where nothing is filled, a full host, one that was over already.
-const NOT_RUN: [u32; 3] = [404, 503, 504];
-/// Those that a run may have caused.
-const MAY_HAVE_RUN: [u32; 1] = [500];
+/// Status codes that prove that a GET never ran: a miss where nothing is filled, a full host, a GET that was already over.
+const STATUS_NOT_RUN: [u32; 3] = [404, 503, 504];
+/// Status codes of answers where the GET may have run.
+const STATUS_MAY_HAVE_RUN: [u32; 1] = [500];
 
-/// The route table: where each service's GETs go, and after which ends they may go again. A service whose GETs have an
-/// effect gets no retry but after an end that proves that nothing ran.
+/// Encodes the route table: the destination of the GETs of each service, and the outcomes after which they may be retried. A
+/// service whose GETs have an effect is retried only after an outcome that proves that nothing ran.
 pub fn routes_body(lines: &[RouteLine<'_>]) -> Vec<u8> {
     let header = |name: &str| route::route_action::HashPolicy {
         policy_specifier: Some(route::route_action::hash_policy::PolicySpecifier::Header(
@@ -442,11 +458,15 @@
         ..Default::default()
     };
     let routes = lines.iter().map(|line| {
-        let proven = "connect-failure,refused-stream,retriable-status-codes";
-        let codes = NOT_RUN.iter().chain(MAY_HAVE_RUN.iter().filter(|_| line.again));
+        let not_run_conditions = "connect-failure,refused-stream,retriable-status-codes";
+        let codes = STATUS_NOT_RUN.iter().chain(STATUS_MAY_HAVE_RUN.iter().filter(|_| line.is_repeatable));
         let retry = route::RetryPolicy {
-            retry_on: if line.again { format!("{proven},reset") } else { proven.to_owned() },
-            num_retries: Some(UInt32Value { value: line.forwards.saturating_sub(1) }),
+            retry_on: if line.is_repeatable {
+                format!("{not_run_conditions},reset")
+            } else {
+                not_run_conditions.to_owned()
+            },
+            num_retries: Some(UInt32Value { value: line.max_forwards.saturating_sub(1) }),
             retriable_status_codes: codes.copied().collect(),
             ..Default::default()
         };
--- a/crates/control/src/resource_cache.rs
+++ b/crates/control/src/resource_cache.rs
@@ -1,13 +1,13 @@
-//! What is published now: resources of each type by name, with versions that say their content.
+//! The resources that are published now, by type and name, each with a version that identifies its content.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// The published types of resources, in the order in which a proxy has to have them: nothing is named before it is
-/// there. Notices (purges, terms of delivery services) and hosts stand on their own; assignments bring the lease, so
-/// they come after what the lease vouches for.
+/// The published resource types, in the order in which a proxy must receive them, so that no resource is referenced before
+/// it exists. Notices (purges, terms of delivery services) and hosts depend on nothing; assignments carry the lease, so
+/// they follow what the lease covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ResourceType {
     Notice,
@@ -40,14 +40,16 @@
         RESOURCE_TYPES.into_iter().find(|resource_type| resource_type.type_url() == url)
     }
 
-    /// A state-of-the-world answer of this type holds all that is wanted, so that what it lacks is gone.
+    /// Whether a state-of-the-world response of this type contains every subscribed resource, so that what it leaves out is
+    /// removed.
     pub fn is_full_state(self) -> bool {
         self == ResourceType::Cluster
     }
 }
 
-/// Says the content_hash, so that two instances with the same news give it the same version. `incarnation` and `revision` order the
-/// versions of one resource where facts are ordered: a host's incarnation by its start and its standing in it, a purge by time.
+/// Version of a resource. `content_hash` makes two instances with the same facts give the same version. `incarnation` and
+/// `revision` order the versions of one resource where facts are ordered: for a host, its start and its state since
+/// then (draining or not); for a purge, its time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
     pub incarnation: u64,
@@ -60,7 +62,7 @@
         Self { incarnation, revision, content_hash: twox_hash::XxHash64::oneshot(0, body) }
     }
 
-    /// A later fact of the same resource, whatever else it says.
+    /// Whether this version states a later fact about the same resource, whatever its content.
     pub fn is_newer_than(&self, other: &Self) -> bool {
         (self.incarnation, self.revision) > (other.incarnation, other.revision)
     }
@@ -86,15 +88,17 @@
     }
 }
 
+/// A published resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resource {
     pub version: Version,
-    /// The message, as protobuf has it.
+    /// The encoded protobuf message.
     pub body: Rc<[u8]>,
-    /// It goes out with a time to live and is renewed.
+    /// Whether it is sent with a time to live and renewed by heartbeats.
     pub is_leased: bool,
 }
 
+/// The published resources by type and name.
 #[derive(Default)]
 pub struct ResourceCache {
     by_type: [BTreeMap<Rc<str>, Resource>; RESOURCE_TYPES.len()],
@@ -105,7 +109,7 @@
         self.by_type[resource_type as usize].get(name)
     }
 
-    /// With the name as it is kept here.
+    /// Returns a resource with its shared name.
     pub fn entry(&self, resource_type: ResourceType, name: &str) -> Option<(&Rc<str>, &Resource)> {
         self.by_type[resource_type as usize].get_key_value(name)
     }
@@ -114,21 +118,21 @@
         self.by_type[resource_type as usize].iter()
     }
 
-    /// Puts a resource there or takes it away; its name if that changed anything.
+    /// Inserts a resource, or removes it (None). Returns its name if anything changed.
     pub fn put(
         &mut self,
         resource_type: ResourceType,
         name: &str,
         resource: Option<Resource>,
     ) -> Option<Rc<str>> {
-        let resource_type = &mut self.by_type[resource_type as usize];
-        let Some(resource) = resource else { return resource_type.remove_entry(name).map(|(name, _)| name) };
-        let known = resource_type.get_key_value(name);
+        let resources = &mut self.by_type[resource_type as usize];
+        let Some(resource) = resource else { return resources.remove_entry(name).map(|(name, _)| name) };
+        let known = resources.get_key_value(name);
         if known.is_some_and(|(_, known)| known.version == resource.version) {
             return None;
         }
         let name = known.map_or_else(|| Rc::from(name), |(name, _)| Rc::clone(name));
-        resource_type.insert(Rc::clone(&name), resource);
+        resources.insert(Rc::clone(&name), resource);
         Some(name)
     }
 }
