--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -72,7 +72,7 @@
             }
         }
     };
-    let began = until("gives decisions");
+    let began = until("serves routing decisions");
     assert_eq!((began["level"].as_str(), began["address"].as_str()), (Some("INFO"), Some(&*address)));
     let asked = run(&["status", &address]);
     assert_eq!(asked.status.code(), Some(0), "{}", text(&asked.stderr));
@@ -85,10 +85,10 @@
         told.lines().filter(|line| !line.contains("cache-2")).map(|line| format!("{line}\n")).collect();
     std::fs::write(&file.0, fewer).unwrap();
     signal("-HUP", service.0.id());
-    assert_eq!(until("read anew")["hosts"], 5);
+    assert_eq!(until("operator file reloaded")["hosts"], 5);
     std::fs::write(&file.0, "(control").unwrap();
     signal("-HUP", service.0.id());
-    assert_eq!(until("not read anew")["level"], "ERROR");
+    assert_eq!(until("operator file not reloaded")["level"], "ERROR");
     signal("-USR1", service.0.id());
     assert_eq!(until("change log")["hosts"], 5);
     signal("-TERM", service.0.id());
--- a/crates/control/src/client_status.rs
+++ b/crates/control/src/client_status.rs
@@ -1,4 +1,5 @@
-//! What operators are shown of proxies, by the published client-status service: made here, and asked for and printed.
+//! Status of proxies and zones for operators, over the xDS client status discovery service (CSDS): building, fetching and
+//! printing it.
 
 use crate::ads_server::{AdsServer, ProtocolVariant, StreamId, StreamStatus};
 use crate::messages::parse_zone_resource_name;
@@ -15,21 +16,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of an answer on a thousand proxies.
-const ANSWER_LONG: usize = 64 * 1024 * 1024;
+/// Maximum response size; sufficient for a thousand proxies.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-pub(crate) fn number(n: f64) -> Value {
-    Value { kind: Some(ProtoValue::NumberValue(n)) }
+pub(crate) fn number(number: f64) -> Value {
+    Value { kind: Some(ProtoValue::NumberValue(number)) }
 }
 
 pub(crate) fn text(text: &str) -> Value {
     Value { kind: Some(ProtoValue::StringValue(text.to_owned())) }
 }
 
-/// Streams shown in one turn: what is shown must not keep a drain waiting.
-const TURN_MOST: usize = 8;
+/// Streams added to a status in one turn of the event loop. A status must not delay a drain.
+const MAX_STREAMS_PER_TURN: usize = 8;
 
-/// A status that is being put together, a few streams a turn.
+/// A status response that is being built, a few streams per turn of the event loop.
 #[derive(Default)]
 pub struct StatusBuilder {
     next: StreamId,
@@ -37,23 +38,24 @@
 }
 
 impl StatusBuilder {
-    /// Takes the next few streams; the whole once there are no more.
+    /// Adds the next few streams. Returns the response once there are no more.
     pub fn advance(&mut self, server: &AdsServer, now: Duration) -> Option<ClientStatusResponse> {
-        let before = self.response.config.len();
-        for stream in server.stream_statuses_from(self.next, now).take(TURN_MOST) {
+        let previous_count = self.response.config.len();
+        for stream in server.stream_statuses_from(self.next, now).take(MAX_STREAMS_PER_TURN) {
             self.next = stream.id + 1;
-            self.response.config.push(config(&stream));
+            self.response.config.push(client_config(&stream));
         }
-        let done = self.response.config.len() < before + TURN_MOST;
-        done.then(|| std::mem::take(&mut self.response))
+        let is_complete = self.response.config.len() < previous_count + MAX_STREAMS_PER_TURN;
+        is_complete.then(|| std::mem::take(&mut self.response))
     }
 }
 
-/// A stream with what it holds and refused; what the published message has no field for stands in the node's metadata.
-fn config(stream: &StreamStatus<'_>) -> ClientConfig {
-    let ms = |span: Duration| number(span.as_millis() as f64);
+/// The status of one stream with its sent and rejected resources. Values for which the message has no field are stored in
+/// the metadata of the node.
+fn client_config(stream: &StreamStatus<'_>) -> ClientConfig {
+    let ms = |duration: Duration| number(duration.as_millis() as f64);
     let variant = if stream.variant == ProtocolVariant::Whole { "whole" } else { "delta" };
-    let told = [
+    let fields = [
         ("peer", text(stream.peer)),
         ("form", text(variant)),
         ("stream", number(stream.id as f64)),
@@ -68,8 +70,8 @@
         ("refused", number(stream.counters.nacks as f64)),
         ("unknown_types", number(stream.counters.unknown_types as f64)),
     ];
-    let fields = told.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
-    let held = stream.sent_versions.iter().map(|(resource_type, name, version)| GenericXdsConfig {
+    let fields = fields.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
+    let sent = stream.sent_versions.iter().map(|(resource_type, name, version)| GenericXdsConfig {
         type_url: resource_type.type_url().into(),
         name: (*name).to_owned(),
         version_info: version.to_string(),
@@ -77,7 +79,7 @@
         client_status: ClientResourceStatus::Acked.into(),
         ..Default::default()
     });
-    let refused = stream.nacked.iter().map(|(resource_type, name, nack)| GenericXdsConfig {
+    let nacked = stream.nacked.iter().map(|(resource_type, name, nack)| GenericXdsConfig {
         type_url: resource_type.type_url().into(),
         name: (*name).to_owned(),
         config_status: ConfigStatus::Error.into(),
@@ -95,69 +97,73 @@
             metadata: Some(Struct { fields }),
             ..Default::default()
         }),
-        generic_xds_configs: held.chain(refused).collect(),
+        generic_xds_configs: sent.chain(nacked).collect(),
         ..Default::default()
     }
 }
 
-/// Asks a running service, with an order for one of its zones or without: the zone, and what is ordered.
+/// Fetches the status of a running service. `order` optionally gives it an order: the zone and the order.
 pub fn fetch(
     address: SocketAddr,
     order: Option<(&str, &str)>,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<ClientStatusResponse, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("can't start the async runtime: {e}"))?;
     runtime.block_on(async {
-        let asked = async {
+        let request = async {
             let client = csds::ClientStatusDiscoveryServiceClient::connect(format!("http://{address}")).await;
-            let client = client.map_err(|e| format!("{address} can't be reached: {e}"))?;
-            let mut client = client.max_decoding_message_size(ANSWER_LONG);
+            let client = client.map_err(|e| format!("can't connect to {address}: {e}"))?;
+            let mut client = client.max_decoding_message_size(MAX_RESPONSE_BYTES);
             let node = order.map(|(zone, order)| Node {
                 id: "operator".into(),
                 metadata: Some(Struct {
-                    fields: [("zone", zone), ("order", order)].map(|(n, v)| (n.to_owned(), text(v))).into(),
+                    fields: [("zone", zone), ("order", order)]
+                        .map(|(name, value)| (name.to_owned(), text(value)))
+                        .into(),
                 }),
                 ..Default::default()
             });
             let request = ClientStatusRequest { node, ..Default::default() };
             let answer = client.fetch_client_status(request).await;
-            answer.map(tonic::Response::into_inner).map_err(|e| format!("{address} answers: {}", e.message()))
+            answer
+                .map(tonic::Response::into_inner)
+                .map_err(|e| format!("{address} rejected the request: {}", e.message()))
         };
-        let late = |_| format!("{address} has not answered in {} ms", patience.as_millis());
-        tokio::time::timeout(patience, asked).await.map_err(late)?
+        let timed_out = |_| format!("{address} did not answer within {} ms", timeout.as_millis());
+        tokio::time::timeout(timeout, request).await.map_err(timed_out)?
     })
 }
 
-/// What an order asks for, if a request bears one: the zone, and what is ordered.
+/// The order that a request contains, if any: the zone and the order.
 pub fn parse_order(request: &ClientStatusRequest) -> Option<(String, String)> {
     let fields = &request.node.as_ref()?.metadata.as_ref()?.fields;
-    let said = |name: &str| match fields.get(name)?.kind.as_ref()? {
+    let text_field = |name: &str| match fields.get(name)?.kind.as_ref()? {
         ProtoValue::StringValue(text) => Some(text.clone()),
         _ => None,
     };
-    Some((said("zone")?, said("order")?))
+    Some((text_field("zone")?, text_field("order")?))
 }
 
-/// The table of zones that people read; `votes` adds who says what.
+/// Formats the table of zones. `votes` adds the vote of each member.
 pub fn format_zones(status: &ClientStatusResponse, votes: bool) -> String {
     let mut out = String::new();
-    let heads = [
+    let headers = [
         "stage", "part", "why", "order", "epoch", "step", "backs", "since ms", "sheds", "asked/s", "bears/s",
     ];
     let _ = write!(out, "{:<16}", "zone");
-    heads.iter().for_each(|head| _ = write!(out, " {head:>9}"));
+    headers.iter().for_each(|header| _ = write!(out, " {header:>9}"));
     let _ = writeln!(out, "  well/ill/dead of members");
     for client in &status.config {
         let Some(node) = &client.node else { continue };
         let (Some(zone), Some(metadata)) = (parse_zone_resource_name(&node.id), &node.metadata) else {
             continue;
         };
-        let told = |name: &str| match metadata.fields.get(name).and_then(|v| v.kind.as_ref()) {
-            Some(ProtoValue::NumberValue(n)) if matches!(name, "part" | "sheds") => {
-                format!("{:.0}%", n * 100.0)
+        let cell = |name: &str| match metadata.fields.get(name).and_then(|v| v.kind.as_ref()) {
+            Some(ProtoValue::NumberValue(number)) if matches!(name, "part" | "sheds") => {
+                format!("{:.0}%", number * 100.0)
             }
-            Some(ProtoValue::NumberValue(n)) => format!("{n:.0}"),
+            Some(ProtoValue::NumberValue(number)) => format!("{number:.0}"),
             Some(ProtoValue::StringValue(text)) => text.clone(),
             _ => "?".to_owned(),
         };
@@ -165,17 +171,17 @@
         for name in
             ["stage", "part", "why", "order", "epoch", "step", "backs", "since_ms", "sheds", "asked", "bears"]
         {
-            let _ = write!(out, " {:>9}", told(name));
+            let _ = write!(out, " {:>9}", cell(name));
         }
-        let _ = writeln!(out, "  {}/{}/{} of {}", told("well"), told("ill"), told("dead"), told("members"));
+        let _ = writeln!(out, "  {}/{}/{} of {}", cell("well"), cell("ill"), cell("dead"), cell("members"));
         if votes {
-            let _ = writeln!(out, "    {}", told("votes"));
+            let _ = writeln!(out, "    {}", cell("votes"));
         }
     }
     out
 }
 
-/// The table that people read: a line for each proxy, one more for each thing that it refused.
+/// Formats the table of proxies: a line for each proxy, and one for each resource that it rejected.
 pub fn format_streams(status: &ClientStatusResponse) -> String {
     let mut out = String::new();
     let mut line = |cells: [&str; 8]| {
@@ -186,41 +192,42 @@
         );
     };
     line(["proxy", "from", "form", "lease ms", "lag ms", "owed", "holds", "refused"]);
-    let mut why = Vec::new();
+    let mut nacks = Vec::new();
     for client in &status.config {
         let Some(node) = client.node.as_ref().filter(|node| parse_zone_resource_name(&node.id).is_none())
         else {
             continue;
         };
-        let told = |name: &str| {
+        let cell = |name: &str| {
             let value = node.metadata.as_ref().and_then(|m| m.fields.get(name)).and_then(|v| v.kind.as_ref());
             match value {
-                Some(ProtoValue::NumberValue(n)) if *n < 0.0 => "none".to_owned(),
-                Some(ProtoValue::NumberValue(n)) => format!("{n:.0}"),
+                Some(ProtoValue::NumberValue(number)) if *number < 0.0 => "none".to_owned(),
+                Some(ProtoValue::NumberValue(number)) => format!("{number:.0}"),
                 Some(ProtoValue::StringValue(text)) => text.clone(),
                 _ => "?".to_owned(),
             }
         };
-        let refused: Vec<_> = client.generic_xds_configs.iter().filter(|c| c.error_state.is_some()).collect();
-        let holds = client.generic_xds_configs.len() - refused.len();
+        let nacked: Vec<_> =
+            client.generic_xds_configs.iter().filter(|config| config.error_state.is_some()).collect();
+        let holds = client.generic_xds_configs.len() - nacked.len();
         let cells = [
             node.id.clone(),
-            told("peer"),
-            told("form"),
-            told("lease_ms"),
-            told("lag_ms"),
-            told("owed"),
+            cell("peer"),
+            cell("form"),
+            cell("lease_ms"),
+            cell("lag_ms"),
+            cell("owed"),
             holds.to_string(),
-            refused.len().to_string(),
+            nacked.len().to_string(),
         ];
         line(cells.each_ref().map(String::as_str));
-        for config in refused {
+        for config in nacked {
             let details = config.error_state.as_ref().map(|state| state.details.as_str()).unwrap_or_default();
-            why.push(format!("{} refuses {}: {details}", node.id, config.name));
+            nacks.push(format!("{} refuses {}: {details}", node.id, config.name));
         }
     }
-    for why in why {
-        let _ = writeln!(out, "{why}");
+    for nack in nacks {
+        let _ = writeln!(out, "{nack}");
     }
     out
 }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -1,8 +1,8 @@
-//! The core of a proxy that follows a control service: what it was told, and where by that a GET goes. No I/O: resources
-//! and the time come in. What it decides by are the decision module's own rules (`myrtlegauge::reading`), fed with what
-//! the control service published.
+//! The core of a proxy that follows a control service: the received resources, and the choice of cache and source for a GET
+//! from them. Does no I/O: resources and the time are passed in. It decides by the rules of the decision module
+//! (`myrtlegauge::snapshot`), applied to what the control service published.
 //!
-//! What it was told holds for a lease. Without one nothing is sent and each GET is shed at once.
+//! The received state holds for a lease. Without a lease nothing is forwarded and each GET is shed at once.
 
 use crate::ads_server::ProtocolVariant;
 use crate::fleet::parse_purge_resource_name;
@@ -15,15 +15,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// For how long something that was told is not taken back by an instance that may not have heard of it: what a change
-/// log has to tell is everywhere within seven seconds.
+/// How long a received fact can't be reverted by an instance that may not have received it yet. Change log entries reach
+/// every instance within seven seconds.
 const NEWER_FACT_TIMEOUT_MS: u64 = 8000;
-/// What times are rounded to.
-const TICK: Duration = Duration::from_millis(2);
-/// Hosts remembered after they were gone, so that an instance behind can't bring them back.
+/// Resolution to which accepted ages are rounded.
+const TIME_RESOLUTION: Duration = Duration::from_millis(2);
+/// Removed hosts that are remembered, so that an instance that lags behind can't bring them back.
 const MAX_REMOVED_HOSTS: usize = 4096;
 
-/// A GET as far as it matters where it goes.
+/// The properties of a GET that decide where it goes.
 #[derive(Clone, Copy, Debug)]
 pub struct GetKey<'a> {
     pub service: &'a str,
@@ -32,49 +32,51 @@
     pub group: u64,
 }
 
-/// Why a GET is shed here, at once.
+/// Why a GET is shed at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedReason {
-    /// Nothing was heard for too long: a drain or a purge may have gone by.
+    /// No lease: a drain or a purge may have been missed.
     NoLease,
     UnknownService,
     /// No host takes the key.
     NoHost,
 }
 
-/// Where a GET goes, and with what.
+/// The chosen hosts and terms for a GET.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice<'a> {
     pub cache: &'a HostLine,
     /// None: a miss is not filled.
     pub source: Option<&'a HostLine>,
-    /// The source gives only what it holds.
+    /// The source answers only from its cache.
     pub only_if_cached: bool,
-    /// The oldest copy that will do; zero: any age.
+    /// Maximum age of an acceptable copy. Zero: any age.
     pub max_accepted_age: Duration,
     pub terms: &'a TermsLine,
 }
 
+/// A host with the time since which its current incarnation and draining state are known.
 struct KnownHost {
     line: HostLine,
-    at_ms: u64,
+    since_ms: u64,
 }
 
+/// The state of a proxy that follows a control service.
 #[derive(Default)]
 pub struct Follower {
     hosts: BTreeMap<String, KnownHost>,
-    /// Hosts taken away, with the life that ended and when.
-    gone: BTreeMap<String, (u64, u64)>,
+    /// Removed hosts, with the incarnation that ended and the time of removal.
+    removed_hosts: BTreeMap<String, (u64, u64)>,
     purges: BTreeMap<PurgeKey, PurgeLine>,
     terms: BTreeMap<String, TermsLine>,
     lease_until_ms: u64,
-    /// Laid from the above where that has changed.
-    map: RoutingTable,
+    /// Built from the fields above when they have changed.
+    routing_table: RoutingTable,
     lines: Vec<HostLine>,
-    stale: bool,
+    is_stale: bool,
 }
 
-/// What to subscribe to, in order.
+/// The subscriptions of a follower, in order.
 pub fn subscriptions(form: ProtocolVariant) -> Vec<(ResourceType, Vec<&'static str>)> {
     match form {
         ProtocolVariant::Delta => vec![
@@ -93,13 +95,13 @@
     }
 }
 
-/// When a message was written, by its nonce: a lease counts from there.
+/// The time at which a message was written, from its nonce, in Unix milliseconds. Leases are counted from this time.
 pub fn nonce_unix_ms(nonce: &str) -> Option<u64> {
     u64::from_str_radix(nonce.split_once('.')?.1, 16).ok()
 }
 
 impl Follower {
-    /// Takes a resource. What can't be used changes nothing, and is to be refused.
+    /// Applies a resource. An unusable resource changes nothing; the error is the reason for a NACK.
     pub fn apply(
         &mut self,
         resource_type: ResourceType,
@@ -109,43 +111,43 @@
     ) -> Result<(), &'static str> {
         match resource_type {
             ResourceType::Notice => {
-                let (named, fields) = messages::decode_notice(body)?;
-                if let Some(purged) = parse_purge_resource_name(&named) {
-                    let told = PurgeLine::from_fields(&fields)?;
-                    let known = self.purges.entry(purged).or_insert(told);
-                    if known.at_unix_ms < told.at_unix_ms {
-                        *known = told;
+                let (notice_name, fields) = messages::decode_notice(body)?;
+                if let Some(key) = parse_purge_resource_name(&notice_name) {
+                    let purge = PurgeLine::from_fields(&fields)?;
+                    let known = self.purges.entry(key).or_insert(purge);
+                    if known.at_unix_ms < purge.at_unix_ms {
+                        *known = purge;
                     }
-                } else if let Some(service) = named.strip_prefix("service/") {
+                } else if let Some(service) = notice_name.strip_prefix("service/") {
                     self.terms.insert(service.to_owned(), TermsLine::from_fields(&fields)?);
                 }
-                // Others are for later versions.
+                // Other notices are for later versions of the protocol.
                 self.purges.retain(|_, purge| now_ms < purge.until_unix_ms);
                 Ok(())
             }
             ResourceType::Host => {
-                let read = LbEndpoint::decode(body).map_err(|_| "an endpoint that can't be read")?;
-                let line = HostLine::from_endpoint(&read)?;
-                self.stands(name, line, now_ms);
+                let endpoint = LbEndpoint::decode(body).map_err(|_| "endpoint can't be decoded")?;
+                let line = HostLine::from_endpoint(&endpoint)?;
+                self.update_host(name, line, now_ms);
                 Ok(())
             }
             ResourceType::Assignment => {
-                let read =
-                    ClusterLoadAssignment::decode(body).map_err(|_| "an assignment that can't be read")?;
-                let Some(tier) = Tier::from_name(&read.cluster_name) else { return Ok(()) };
-                let told = read.endpoints.iter().flat_map(|locality| &locality.lb_endpoints);
-                let lines = told.map(HostLine::from_endpoint).collect::<Result<Vec<_>, _>>()?;
-                let left: Vec<_> = self
+                let assignment =
+                    ClusterLoadAssignment::decode(body).map_err(|_| "assignment can't be decoded")?;
+                let Some(tier) = Tier::from_name(&assignment.cluster_name) else { return Ok(()) };
+                let endpoints = assignment.endpoints.iter().flat_map(|locality| &locality.lb_endpoints);
+                let lines = endpoints.map(HostLine::from_endpoint).collect::<Result<Vec<_>, _>>()?;
+                let missing: Vec<_> = self
                     .hosts
                     .iter()
-                    .filter(|(_, told)| {
-                        told.line.tier == tier && lines.iter().all(|l| l.name != told.line.name)
+                    .filter(|(_, known)| {
+                        known.line.tier == tier && lines.iter().all(|line| line.name != known.line.name)
                     })
                     .map(|(name, _)| name.clone())
                     .collect();
-                left.iter().for_each(|name| self.remove(ResourceType::Host, name, now_ms));
+                missing.iter().for_each(|name| self.remove(ResourceType::Host, name, now_ms));
                 for line in lines {
-                    self.stands(&line.resource_name(), line, now_ms);
+                    self.update_host(&line.resource_name(), line, now_ms);
                 }
                 Ok(())
             }
@@ -153,40 +155,40 @@
         }
     }
 
-    /// A host as it is told now, unless that is older news than what is known, and laxer: a drain is taken whoever tells
-    /// of it, for it costs little where it is wrong.
-    fn stands(&mut self, name: &str, line: HostLine, now_ms: u64) {
+    /// Updates a host, unless the update is older than what is known and less strict. A drain is always applied, since a
+    /// wrong drain costs little.
+    fn update_host(&mut self, name: &str, line: HostLine, now_ms: u64) {
         let order = (line.life, line.draining);
-        let lately = |at_ms: u64| now_ms < at_ms + NEWER_FACT_TIMEOUT_MS;
-        let known = self.hosts.get(name).filter(|told| lately(told.at_ms));
-        let ended = self.gone.get(name).filter(|(_, at_ms)| lately(*at_ms));
-        let older = known.is_some_and(|told| (told.line.life, told.line.draining) > order)
-            || ended.is_some_and(|(life, _)| *life >= line.life);
-        if older && !line.draining {
+        let is_recent = |since_ms: u64| now_ms < since_ms + NEWER_FACT_TIMEOUT_MS;
+        let known = self.hosts.get(name).filter(|known| is_recent(known.since_ms));
+        let removed = self.removed_hosts.get(name).filter(|(_, removed_ms)| is_recent(*removed_ms));
+        let is_outdated = known.is_some_and(|known| (known.line.life, known.line.draining) > order)
+            || removed.is_some_and(|(life, _)| *life >= line.life);
+        if is_outdated && !line.draining {
             return;
         }
-        // The same news again leaves its time as it was, for a correction must get through in the end.
-        let at_ms = self.hosts.get(name).filter(|told| (told.line.life, told.line.draining) == order);
-        let at_ms = at_ms.map_or(now_ms, |told| told.at_ms);
-        self.hosts.insert(name.to_owned(), KnownHost { line, at_ms });
-        self.stale = true;
+        // A repetition of the same facts keeps their time, so that a later correction is applied in the end.
+        let previous = self.hosts.get(name).filter(|known| (known.line.life, known.line.draining) == order);
+        let since_ms = previous.map_or(now_ms, |known| known.since_ms);
+        self.hosts.insert(name.to_owned(), KnownHost { line, since_ms });
+        self.is_stale = true;
     }
 
-    /// Takes a resource away. A purge stays: it ends by its own time.
+    /// Removes a resource. A purge stays in effect until its own end.
     pub fn remove(&mut self, resource_type: ResourceType, name: &str, now_ms: u64) {
         if resource_type != ResourceType::Host {
             return;
         }
-        if let Some(told) = self.hosts.remove(name) {
-            self.gone.retain(|_, (_, at_ms)| now_ms < *at_ms + NEWER_FACT_TIMEOUT_MS);
-            if self.gone.len() < MAX_REMOVED_HOSTS {
-                self.gone.insert(name.to_owned(), (told.line.life, now_ms));
+        if let Some(known) = self.hosts.remove(name) {
+            self.removed_hosts.retain(|_, (_, removed_ms)| now_ms < *removed_ms + NEWER_FACT_TIMEOUT_MS);
+            if self.removed_hosts.len() < MAX_REMOVED_HOSTS {
+                self.removed_hosts.insert(name.to_owned(), (known.line.life, now_ms));
             }
-            self.stale = true;
+            self.is_stale = true;
         }
     }
 
-    /// Takes a lease: a time to live of an assignment, of a message written and received at these times.
+    /// Extends the lease by the time to live of an assignment. The message was written and received at the given times.
     pub fn extend_lease(&mut self, ttl: Duration, written_ms: u64, received_ms: u64) {
         let until = written_ms.min(received_ms) + ttl.as_millis() as u64;
         self.lease_until_ms = self.lease_until_ms.max(until);
@@ -197,22 +199,22 @@
     }
 
     pub fn host(&self, host: &str) -> Option<&HostLine> {
-        self.hosts.values().map(|told| &told.line).find(|line| line.name == host)
+        self.hosts.values().map(|known| &known.line).find(|line| line.name == host)
     }
 
     pub fn host_count(&self) -> usize {
         self.hosts.len()
     }
 
-    pub fn purge(&self, named: PurgeKey) -> Option<PurgeLine> {
-        self.purges.get(&named).copied()
+    pub fn purge(&self, key: PurgeKey) -> Option<PurgeLine> {
+        self.purges.get(&key).copied()
     }
 
-    fn settle(&mut self) {
-        if !std::mem::take(&mut self.stale) {
+    fn rebuild_routing_table(&mut self) {
+        if !std::mem::take(&mut self.is_stale) {
             return;
         }
-        self.lines = self.hosts.values().map(|told| told.line.clone()).collect();
+        self.lines = self.hosts.values().map(|known| known.line.clone()).collect();
         let shares = |tier: Tier| -> Vec<HostShare> {
             let lines = self.lines.iter().enumerate().filter(|(_, line)| line.tier == tier);
             lines
@@ -226,50 +228,58 @@
                 })
                 .collect()
         };
-        for (tier, laid) in [(Tier::Caches, &mut self.map.caches), (Tier::Parents, &mut self.map.parents)] {
+        for (tier, tier_table) in
+            [(Tier::Caches, &mut self.routing_table.caches), (Tier::Parents, &mut self.routing_table.parents)]
+        {
             let shares = shares(tier);
-            if !laid.update_fractions(&shares) {
-                *laid = myrtlegauge::snapshot::Tier::build(shares);
+            if !tier_table.update_fractions(&shares) {
+                *tier_table = myrtlegauge::snapshot::Tier::build(shares);
             }
         }
-        self.map.origin = shares(Tier::Origin).into_iter().find(|share| !self.lines[share.host].draining);
+        self.routing_table.origin =
+            shares(Tier::Origin).into_iter().find(|share| !self.lines[share.host].draining);
     }
 
-    /// Where a GET goes now. `tried`: the cache and the source that failed it; `out`: fills that this proxy has out at a
-    /// host, by name.
+    /// Chooses the cache and source of a GET. `tried` are the cache and the source that failed it before; `in_flight_fills`
+    /// gives the number of fills that this proxy has in flight at a host, by name.
     pub fn choose(
         &mut self,
         get: &GetKey<'_>,
         tried: [Option<&str>; 2],
-        out: impl Fn(&str) -> u32,
+        in_flight_fills: impl Fn(&str) -> u32,
         now_ms: u64,
     ) -> Result<Choice<'_>, ShedReason> {
         if now_ms >= self.lease_until_ms {
             return Err(ShedReason::NoLease);
         }
-        self.settle();
+        self.rebuild_routing_table();
         let terms = self.terms.get(get.service).ok_or(ShedReason::UnknownService)?;
-        self.map.is_origin_spared = terms.spared;
+        self.routing_table.is_origin_spared = terms.spared;
         let key = snapshot::ring_key(get.object, get.chunk);
         let index = |name: &str| self.lines.iter().position(|line| line.name == name);
         let [tried_cache, tried_source] = tried.map(|name| name.and_then(index));
-        let cache = self.map.cache(key, tried_cache).ok_or(ShedReason::NoHost)?.host;
-        let room = |share: &HostShare| f64::from(out(&self.lines[share.host].name)) < share.max_fills;
+        let cache = self.routing_table.cache(key, tried_cache).ok_or(ShedReason::NoHost)?.host;
+        let has_room =
+            |share: &HostShare| f64::from(in_flight_fills(&self.lines[share.host].name)) < share.max_fills;
         let source = if terms.passed_on {
-            self.map.origin.map(|origin| (origin.host, false))
+            self.routing_table.origin.map(|origin| (origin.host, false))
         } else {
-            self.map.source(key, tried_source, room)
+            self.routing_table.source(key, tried_source, has_room)
         };
-        let named = [PurgeKey::Object(get.object), PurgeKey::Group(get.group)];
-        let purged =
-            named.iter().filter_map(|named| self.purges.get(named)).map(|purge| purge.at_unix_ms).max();
-        let purged = purged.map(Duration::from_millis);
-        let max_accepted_age =
-            snapshot::max_accepted_age(terms.accepted_age, purged, Duration::from_millis(now_ms), TICK);
+        let purge_keys = [PurgeKey::Object(get.object), PurgeKey::Group(get.group)];
+        let purged_at =
+            purge_keys.iter().filter_map(|key| self.purges.get(key)).map(|purge| purge.at_unix_ms).max();
+        let purged_at = purged_at.map(Duration::from_millis);
+        let max_accepted_age = snapshot::max_accepted_age(
+            terms.accepted_age,
+            purged_at,
+            Duration::from_millis(now_ms),
+            TIME_RESOLUTION,
+        );
         Ok(Choice {
             cache: &self.lines[cache],
             source: source.map(|(host, _)| &self.lines[host]),
-            only_if_cached: source.is_some_and(|(_, held)| held),
+            only_if_cached: source.is_some_and(|(_, only_if_cached)| only_if_cached),
             max_accepted_age: if terms.passed_on { Duration::ZERO } else { max_accepted_age },
             terms,
         })
--- a/crates/control/src/grpc.rs
+++ b/crates/control/src/grpc.rs
@@ -1,5 +1,5 @@
-//! The published gRPC services, on tokio on a thread of its own. Nothing is decided here: what proxies say goes to the
-//! service's loop, and what the loop has for them goes out as it is.
+//! The published gRPC services, on tokio on a thread of their own. Nothing is decided here: requests go to the event loop of
+//! the service, and the messages of the event loop are sent unchanged.
 
 use crate::ads_server::{Message, ProtocolVariant, Request};
 use crate::messages;
@@ -25,36 +25,36 @@
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Status, Streaming};
 
-/// Messages that wait for one proxy outside the server: a few, for what waits here can't be overtaken.
+/// Messages of one stream that may wait for the network. Only a few, since urgent messages can't overtake them.
 pub const OUTBOX_CAPACITY: usize = 4;
-/// Requests of one proxy that wait for the loop; more are left unread.
+/// Requests of one stream that may wait for the event loop. Further ones are left unread.
 const MAX_PENDING_REQUESTS: usize = 8;
-/// Bytes of one request or report: four thousand names, or reports of as many hosts.
+/// Maximum size of a request or report; sufficient for four thousand names or reports on as many hosts.
 const MAX_REQUEST_BYTES: usize = 1024 * 1024;
-/// Streams of one connection: its own, reports, status.
+/// Concurrent streams of one connection, used for ADS, load reports and status.
 const MAX_STREAMS_PER_CONNECTION: u32 = 8;
-/// A connection that is dead without a word is found in this much and the same again.
+/// HTTP/2 keep-alive interval and time-out. A dead connection is detected within the sum of both.
 const KEEPALIVE: Duration = Duration::from_secs(10);
 
-/// A stream, from its start.
+/// Identifies a gRPC stream. Never reused.
 pub type GrpcStreamId = u64;
 
-/// What the loop hears.
+/// Events for the event loop of the service.
 pub enum ServiceEvent {
     Opened {
-        ticket: GrpcStreamId,
+        stream_id: GrpcStreamId,
         peer: String,
-        out: ResponseSender,
+        sender: ResponseSender,
     },
-    /// The permit is given back once it was heard.
+    /// The permit is released when the request has been handled.
     Requested {
-        ticket: GrpcStreamId,
+        stream_id: GrpcStreamId,
         node: String,
         request: Request,
         permit: OwnedSemaphorePermit,
     },
     Closed {
-        ticket: GrpcStreamId,
+        stream_id: GrpcStreamId,
     },
     Reported {
         report: LoadStatsRequest,
@@ -67,7 +67,7 @@
     },
 }
 
-/// Where a stream's messages go.
+/// Sends the responses of one ADS stream.
 pub enum ResponseSender {
     Whole(mpsc::Sender<Result<DiscoveryResponse, Status>>),
     Delta(mpsc::Sender<Result<DeltaDiscoveryResponse, Status>>),
@@ -81,48 +81,49 @@
         }
     }
 
-    /// Messages that may still be handed over.
-    pub fn room(&self) -> usize {
+    /// The number of messages that can be sent now.
+    pub fn capacity(&self) -> usize {
         match self {
-            ResponseSender::Whole(out) => out.capacity(),
-            ResponseSender::Delta(out) => out.capacity(),
+            ResponseSender::Whole(sender) => sender.capacity(),
+            ResponseSender::Delta(sender) => sender.capacity(),
         }
     }
 
-    /// Hands a message over, where there is room.
-    pub fn send(&self, message: Message, plane: &str) {
-        let control_plane = Some(ControlPlane { identifier: plane.to_owned() });
+    /// Sends a message if there is capacity.
+    pub fn send(&self, message: Message, control_plane: &str) {
+        let control_plane = Some(ControlPlane { identifier: control_plane.to_owned() });
         match self {
-            ResponseSender::Whole(out) => {
-                let _ = out.try_send(Ok(DiscoveryResponse { control_plane, ..whole(message) }));
+            ResponseSender::Whole(sender) => {
+                let _ = sender.try_send(Ok(DiscoveryResponse { control_plane, ..encode_whole(message) }));
             }
-            ResponseSender::Delta(out) => {
-                let _ = out.try_send(Ok(DeltaDiscoveryResponse { control_plane, ..delta(message) }));
+            ResponseSender::Delta(sender) => {
+                let _ =
+                    sender.try_send(Ok(DeltaDiscoveryResponse { control_plane, ..encode_delta(message) }));
             }
         }
     }
 
     pub fn end(&self, status: Status) {
         match self {
-            ResponseSender::Whole(out) => drop(out.try_send(Err(status))),
-            ResponseSender::Delta(out) => drop(out.try_send(Err(status))),
+            ResponseSender::Whole(sender) => drop(sender.try_send(Err(status))),
+            ResponseSender::Delta(sender) => drop(sender.try_send(Err(status))),
         }
     }
 }
 
-/// A state-of-the-world message; what has a time to live stands in the published wrapper.
-fn whole(message: Message) -> DiscoveryResponse {
+/// Encodes a state-of-the-world response. Resources with a time to live are put into the wrapper message `Resource`.
+fn encode_whole(message: Message) -> DiscoveryResponse {
     let resource_type = message.resource_type;
-    let resources = message.resources.into_iter().map(|sent| {
-        let body = sent.body.as_ref().map(|body| messages::encode_any(resource_type, body));
-        match (sent.ttl, body) {
+    let resources = message.resources.into_iter().map(|resource| {
+        let body = resource.body.as_ref().map(|body| messages::encode_any(resource_type, body));
+        match (resource.ttl, body) {
             (None, Some(body)) => body,
-            (ttl, resource) => {
+            (ttl, encoded) => {
                 let wrapped = Resource {
-                    name: sent.name.to_string(),
-                    version: sent.version.to_string(),
+                    name: resource.name.to_string(),
+                    version: resource.version.to_string(),
                     ttl: ttl.map(messages::encode_duration),
-                    resource,
+                    resource: encoded,
                     ..Default::default()
                 };
                 Any { type_url: Resource::type_url(), value: wrapped.encode_to_vec() }
@@ -138,13 +139,13 @@
     }
 }
 
-fn delta(message: Message) -> DeltaDiscoveryResponse {
+fn encode_delta(message: Message) -> DeltaDiscoveryResponse {
     let resource_type = message.resource_type;
-    let resources = message.resources.into_iter().map(|sent| Resource {
-        name: sent.name.to_string(),
-        version: sent.version.to_string(),
-        ttl: sent.ttl.map(messages::encode_duration),
-        resource: sent.body.as_ref().map(|body| messages::encode_any(resource_type, body)),
+    let resources = message.resources.into_iter().map(|resource| Resource {
+        name: resource.name.to_string(),
+        version: resource.version.to_string(),
+        ttl: resource.ttl.map(messages::encode_duration),
+        resource: resource.body.as_ref().map(|body| messages::encode_any(resource_type, body)),
         ..Default::default()
     });
     DeltaDiscoveryResponse {
@@ -189,45 +190,49 @@
     }
 }
 
-/// What every service here needs.
+/// The state that the gRPC services share.
 #[derive(Clone)]
 struct Frontend {
-    hears: Sender<ServiceEvent>,
-    tickets: Arc<AtomicU64>,
+    events: Sender<ServiceEvent>,
+    next_stream_id: Arc<AtomicU64>,
     reports_every: Duration,
 }
 
 type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
-/// Tells the loop that a stream is over, however it ended.
+/// Reports the end of a stream to the event loop, however it ended.
 struct CloseNotifier(Sender<ServiceEvent>, GrpcStreamId);
 
 impl Drop for CloseNotifier {
     fn drop(&mut self) {
-        let _ = self.0.send(ServiceEvent::Closed { ticket: self.1 });
+        let _ = self.0.send(ServiceEvent::Closed { stream_id: self.1 });
     }
 }
 
 impl Frontend {
-    fn opened(&self, peer: Option<SocketAddr>, out: ResponseSender) -> GrpcStreamId {
-        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
+    fn open(&self, peer: Option<SocketAddr>, sender: ResponseSender) -> GrpcStreamId {
+        let stream_id = self.next_stream_id.fetch_add(1, Ordering::Relaxed);
         let peer = peer.map(|peer| peer.to_string()).unwrap_or_default();
-        let _ = self.hears.send(ServiceEvent::Opened { ticket, peer, out });
-        ticket
+        let _ = self.events.send(ServiceEvent::Opened { stream_id, peer, sender });
+        stream_id
     }
 
-    /// Passes a stream's requests to the loop, a few at a time, until it ends.
-    fn listen<T>(&self, ticket: GrpcStreamId, mut inbound: Streaming<T>, read: fn(T) -> (String, Request))
-    where
+    /// Passes the requests of a stream to the event loop, a few at a time, until the stream ends.
+    fn forward_requests<T>(
+        &self,
+        stream_id: GrpcStreamId,
+        mut inbound: Streaming<T>,
+        read: fn(T) -> (String, Request),
+    ) where
         T: Send + 'static,
     {
-        let ends = CloseNotifier(self.hears.clone(), ticket);
+        let notifier = CloseNotifier(self.events.clone(), stream_id);
         tokio::spawn(async move {
-            let unheard = Arc::new(Semaphore::new(MAX_PENDING_REQUESTS));
+            let pending_requests = Arc::new(Semaphore::new(MAX_PENDING_REQUESTS));
             while let Ok(Some(request)) = inbound.message().await {
                 let (node, request) = read(request);
-                let Ok(permit) = Arc::clone(&unheard).acquire_owned().await else { break };
-                if ends.0.send(ServiceEvent::Requested { ticket, node, request, permit }).is_err() {
+                let Ok(permit) = Arc::clone(&pending_requests).acquire_owned().await else { break };
+                if notifier.0.send(ServiceEvent::Requested { stream_id, node, request, permit }).is_err() {
                     break;
                 }
             }
@@ -244,9 +249,9 @@
         &self,
         request: tonic::Request<Streaming<DiscoveryRequest>>,
     ) -> Result<tonic::Response<Self::StreamAggregatedResourcesStream>, Status> {
-        let (out, answers) = mpsc::channel(OUTBOX_CAPACITY);
-        let ticket = self.opened(request.remote_addr(), ResponseSender::Whole(out));
-        self.listen(ticket, request.into_inner(), |mut request| {
+        let (sender, answers) = mpsc::channel(OUTBOX_CAPACITY);
+        let stream_id = self.open(request.remote_addr(), ResponseSender::Whole(sender));
+        self.forward_requests(stream_id, request.into_inner(), |mut request| {
             (node_name(request.node.take()), request.into())
         });
         Ok(tonic::Response::new(Box::pin(ReceiverStream::new(answers))))
@@ -256,9 +261,9 @@
         &self,
         request: tonic::Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<tonic::Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        let (out, answers) = mpsc::channel(OUTBOX_CAPACITY);
-        let ticket = self.opened(request.remote_addr(), ResponseSender::Delta(out));
-        self.listen(ticket, request.into_inner(), |mut request| {
+        let (sender, answers) = mpsc::channel(OUTBOX_CAPACITY);
+        let stream_id = self.open(request.remote_addr(), ResponseSender::Delta(sender));
+        self.forward_requests(stream_id, request.into_inner(), |mut request| {
             (node_name(request.node.take()), request.into())
         });
         Ok(tonic::Response::new(Box::pin(ReceiverStream::new(answers))))
@@ -273,28 +278,28 @@
         &self,
         request: tonic::Request<Streaming<LoadStatsRequest>>,
     ) -> Result<tonic::Response<Self::StreamLoadStatsStream>, Status> {
-        let asked = LoadStatsResponse {
+        let settings = LoadStatsResponse {
             send_all_clusters: true,
             load_reporting_interval: Some(messages::encode_duration(self.reports_every)),
             report_endpoint_granularity: true,
             ..Default::default()
         };
-        let (out, answers) = mpsc::channel(1);
-        let _ = out.try_send(Ok(asked));
-        let hears = self.hears.clone();
+        let (sender, answers) = mpsc::channel(1);
+        let _ = sender.try_send(Ok(settings));
+        let events = self.events.clone();
         let mut inbound = request.into_inner();
         tokio::spawn(async move {
-            // The first message names the proxy; later ones may leave it out.
-            let (mut node, unheard) = (None, Arc::new(Semaphore::new(1)));
+            // The first message names the proxy; later ones may omit it.
+            let (mut node, pending_requests) = (None, Arc::new(Semaphore::new(1)));
             while let Ok(Some(mut report)) = inbound.message().await {
                 node = report.node.take().or(node);
                 report.node.clone_from(&node);
-                let Ok(permit) = Arc::clone(&unheard).acquire_owned().await else { break };
-                if hears.send(ServiceEvent::Reported { report, permit }).is_err() {
+                let Ok(permit) = Arc::clone(&pending_requests).acquire_owned().await else { break };
+                if events.send(ServiceEvent::Reported { report, permit }).is_err() {
                     break;
                 }
             }
-            drop(out);
+            drop(sender);
         });
         Ok(tonic::Response::new(Box::pin(ReceiverStream::new(answers))))
     }
@@ -308,45 +313,45 @@
         &self,
         request: tonic::Request<Streaming<ClientStatusRequest>>,
     ) -> Result<tonic::Response<Self::StreamClientStatusStream>, Status> {
-        let front = self.clone();
-        let answers = request.into_inner().then(move |asked| {
-            let front = front.clone();
-            async move { front.show(&asked?).await }
+        let frontend = self.clone();
+        let answers = request.into_inner().then(move |request| {
+            let frontend = frontend.clone();
+            async move { frontend.fetch_status(&request?).await }
         });
         Ok(tonic::Response::new(Box::pin(answers)))
     }
 
     async fn fetch_client_status(
         &self,
-        asked: tonic::Request<ClientStatusRequest>,
+        request: tonic::Request<ClientStatusRequest>,
     ) -> Result<tonic::Response<ClientStatusResponse>, Status> {
-        Ok(tonic::Response::new(self.show(asked.get_ref()).await?))
+        Ok(tonic::Response::new(self.fetch_status(request.get_ref()).await?))
     }
 }
 
 impl Frontend {
-    async fn show(&self, asked: &ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
-        let (reply, shown) = oneshot::channel();
-        let gone = || Status::unavailable("the service is ending");
-        self.hears
-            .send(ServiceEvent::StatusRequested { order: crate::client_status::parse_order(asked), reply })
-            .map_err(|_| gone())?;
-        shown.await.map_err(|_| gone())?.map_err(Status::invalid_argument)
+    async fn fetch_status(&self, request: &ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
+        let (reply, status) = oneshot::channel();
+        let ending = || Status::unavailable("the control service is shutting down");
+        self.events
+            .send(ServiceEvent::StatusRequested { order: crate::client_status::parse_order(request), reply })
+            .map_err(|_| ending())?;
+        status.await.map_err(|_| ending())?.map_err(Status::invalid_argument)
     }
 }
 
-/// Serves on a listener until the process ends.
+/// Starts the gRPC services on a thread of their own. They run until the process ends.
 pub fn serve(
     listener: TcpListener,
-    hears: Sender<ServiceEvent>,
+    events: Sender<ServiceEvent>,
     reports_every: Duration,
 ) -> Result<(), String> {
-    let front = Frontend { hears, tickets: Arc::new(AtomicU64::new(0)), reports_every };
+    let frontend = Frontend { events, next_stream_id: Arc::new(AtomicU64::new(0)), reports_every };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime for gRPC: {e}"))?;
-    listener.set_nonblocking(true).map_err(|e| format!("the listener: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("can't start the gRPC runtime: {e}"))?;
+    listener.set_nonblocking(true).map_err(|e| format!("can't make the gRPC listener non-blocking: {e}"))?;
     let run = move || {
-        let served = runtime.block_on(async move {
+        let result = runtime.block_on(async move {
             let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| e.to_string())?;
             let incoming = tonic::transport::server::TcpIncoming::from(listener).with_nodelay(Some(true));
             tonic::transport::Server::builder()
@@ -354,22 +359,22 @@
                 .http2_keepalive_timeout(Some(KEEPALIVE))
                 .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
                 .add_service(
-                    ads::AggregatedDiscoveryServiceServer::new(front.clone())
+                    ads::AggregatedDiscoveryServiceServer::new(frontend.clone())
                         .max_decoding_message_size(MAX_REQUEST_BYTES),
                 )
                 .add_service(
-                    lrs::LoadReportingServiceServer::new(front.clone())
+                    lrs::LoadReportingServiceServer::new(frontend.clone())
                         .max_decoding_message_size(MAX_REQUEST_BYTES),
                 )
-                .add_service(csds::ClientStatusDiscoveryServiceServer::new(front))
+                .add_service(csds::ClientStatusDiscoveryServiceServer::new(frontend))
                 .serve_with_incoming(incoming)
                 .await
                 .map_err(|e| e.to_string())
         });
-        if let Err(fault) = served {
-            log::error!("gRPC ended: {fault}");
+        if let Err(error) = result {
+            log::error!("gRPC services ended, proxies are no longer served: {error}");
         }
     };
     let thread = std::thread::Builder::new().name("grpc".into()).spawn(run);
-    thread.map(drop).map_err(|e| format!("no thread for gRPC: {e}"))
+    thread.map(drop).map_err(|e| format!("can't start the gRPC thread: {e}"))
 }
--- a/crates/control/src/load_reports.rs
+++ b/crates/control/src/load_reports.rs
@@ -1,85 +1,90 @@
-//! What proxies report of load and outcomes, and what is made of it: one outcome for each host and interval, and counts
-//! of fills, for the decision module. No I/O.
+//! Load reports of proxies, and their summary for the decision module: one outcome per host and interval, and counts of
+//! fills. Does no I/O.
 //!
-//! A report is believed as far as one proxy can know: what it says of a host is one vote, however many GETs it names, so
-//! that one that lies or is itself cut off can't leave out a host that others reach. A report that can't be true is
-//! refused whole.
+//! A report counts only as far as one proxy can know. Its outcomes for a host are one vote, however many GETs it names, so
+//! that a proxy that lies or is itself cut off can't exclude a host that others reach. A report with an impossible number is
+//! rejected as a whole.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// GETs in one report of one host; a proxy that does more in an interval than a machine can is not believed.
+/// Maximum number of GETs in the report on one host. No proxy can do more in an interval.
 const MAX_GETS_PER_REPORT: u64 = 1_000_000;
-/// Part of the interval after which a further report of the same proxy counts: clocks are not even, but a repeat of
-/// what was sent before is no news.
+/// Fraction of the interval after which another report of the same proxy is accepted. Clocks differ, but a repetition of
+/// the previous report has no new information.
 const MIN_INTERVAL_FRACTION: f64 = 0.5;
-/// Proxies remembered; a crowd of made-up names must not fill the memory.
+/// Maximum number of remembered proxies, so that invented names can't fill the memory.
 const MAX_PROXIES: usize = 4096;
 
-/// What a proxy saw of one host in an interval.
+/// The outcomes of GETs of one proxy at one host in one interval.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostReport {
     pub host: usize,
     pub returned: u64,
     pub errored: u64,
-    /// GETs that came back, but late.
+    /// GETs that were returned, but late.
     pub late: u64,
-    /// FillCounts asked of this host as a source, by delivery service: all, those late or failed, and those out now.
+    /// Fills requested from this host as a source, by delivery service.
     pub fills: Vec<FillCounts>,
 }
 
+/// Fills of one delivery service at one source.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FillCounts {
     pub ds: usize,
     pub total: u64,
-    /// As it is reported, a number of any kind.
+    /// As received; may be any number until the report is accepted.
     pub late_or_failed: f64,
     pub in_flight: u64,
 }
 
+/// Why a report is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportError {
     /// A number that is negative, not a number, or beyond what a proxy can do.
     OutOfRange,
-    /// Another report of this proxy came just before.
+    /// The previous report of this proxy is too recent.
     TooSoon,
-    /// More proxies than are remembered.
+    /// The maximum number of proxies is already remembered.
     TooManyProxies,
 }
 
 impl std::fmt::Display for ReportError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            ReportError::OutOfRange => "a number that can't be true",
-            ReportError::TooSoon => "sooner than asked for",
-            ReportError::TooManyProxies => "of more proxies than are remembered",
+            ReportError::OutOfRange => "it contains a number that is out of range, or a host twice",
+            ReportError::TooSoon => "it came too soon after the previous report",
+            ReportError::TooManyProxies => "the maximum number of reporting proxies is reached",
         })
     }
 }
 
-/// FillCounts of all hosts and services in one report: all, and those late or failed.
+/// Sums the fills over all hosts and services of a report: the total, and those late or failed.
 ///
-/// Call it only on a report that [`LoadLoadReports::add`] believed: the numbers of any other have no bounds.
+/// Call it only for a report that [`LoadReports::add`] accepted; the numbers of other reports have no bounds.
 pub fn sum_fills(hosts: &[HostReport]) -> (u64, u64) {
     let fills = hosts.iter().flat_map(|report| &report.fills);
-    fills.fold((0, 0), |(all, bad), fills| (all + fills.total, bad + fills.late_or_failed as u64))
+    fills.fold((0, 0), |(total, late_or_failed), fills| {
+        (total + fills.total, late_or_failed + fills.late_or_failed as u64)
+    })
 }
 
-/// What the interval came to.
+/// Summary of one interval.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
-    /// By host: a success or a failure, where most who spoke of it agree.
+    /// By host: whether it succeeded according to the majority of the proxies that reported on it.
     pub outcomes: Vec<(usize, bool)>,
-    /// By source and delivery service: all fills, bad ones, those out.
+    /// By source and delivery service: all fills, those late or failed, those in flight.
     pub fills: Vec<(usize, usize, u32, u32, u32)>,
 }
 
+/// Collects the reports of an interval.
 #[derive(Default)]
 pub struct LoadReports {
     interval: Duration,
     /// When each proxy last reported.
-    last: BTreeMap<String, Duration>,
-    /// By host: those for which most GETs were returned, and the others.
+    last_report: BTreeMap<String, Duration>,
+    /// By host: the number of proxies for which most GETs were returned, and of the others.
     votes: BTreeMap<usize, (u32, u32)>,
     fills: BTreeMap<(usize, usize), (u64, u64, u64)>,
     interval_end: Duration,
@@ -88,29 +93,29 @@
 }
 
 impl LoadReports {
-    pub fn new(every: Duration, now: Duration) -> Self {
-        Self { interval: every, interval_end: now + every, ..Self::default() }
+    pub fn new(interval: Duration, now: Duration) -> Self {
+        Self { interval, interval_end: now + interval, ..Self::default() }
     }
 
-    pub fn every(&self) -> Duration {
+    pub fn interval(&self) -> Duration {
         self.interval
     }
 
-    /// Takes one proxy's report, of hosts that are known.
+    /// Adds the report of one proxy on known hosts, or rejects it.
     pub fn add(&mut self, node: &str, hosts: &[HostReport], now: Duration) -> Result<(), ReportError> {
-        let checked = self.check(node, hosts, now);
-        if checked.is_err() {
+        let result = self.check(node, hosts, now);
+        if result.is_err() {
             self.rejected += 1;
-            return checked;
+            return result;
         }
         self.accepted += 1;
-        self.last.insert(node.to_owned(), now);
+        self.last_report.insert(node.to_owned(), now);
         for report in hosts {
-            let (good, bad) = self.votes.entry(report.host).or_default();
+            let (healthy, failed) = self.votes.entry(report.host).or_default();
             match report.errored * 2 > report.returned + report.errored {
                 _ if report.returned + report.errored == 0 => {}
-                true => *bad += 1,
-                false => *good += 1,
+                true => *failed += 1,
+                false => *healthy += 1,
             }
             for fills in &report.fills {
                 let sum = self.fills.entry((report.host, fills.ds)).or_default();
@@ -123,57 +128,61 @@
     }
 
     fn check(&self, node: &str, hosts: &[HostReport], now: Duration) -> Result<(), ReportError> {
-        let soon =
-            self.last.get(node).is_some_and(|&at| now < at + self.interval.mul_f64(MIN_INTERVAL_FRACTION));
-        if soon {
+        let is_too_soon = self
+            .last_report
+            .get(node)
+            .is_some_and(|&at| now < at + self.interval.mul_f64(MIN_INTERVAL_FRACTION));
+        if is_too_soon {
             return Err(ReportError::TooSoon);
         }
-        if self.last.len() >= MAX_PROXIES && !self.last.contains_key(node) {
+        if self.last_report.len() >= MAX_PROXIES && !self.last_report.contains_key(node) {
             return Err(ReportError::TooManyProxies);
         }
-        let mut hosts_seen = std::collections::BTreeSet::new();
-        let sound = hosts.iter().all(|report| {
+        let mut reported_hosts = std::collections::BTreeSet::new();
+        let is_valid = hosts.iter().all(|report| {
             let gets = report.returned.saturating_add(report.errored);
-            let fills = report.fills.iter().all(|fills| {
-                let bad = fills.late_or_failed.is_finite()
+            let are_fills_valid = report.fills.iter().all(|fills| {
+                let is_count_valid = fills.late_or_failed.is_finite()
                     && fills.late_or_failed >= 0.0
                     && fills.late_or_failed <= fills.total as f64;
-                bad && fills.total <= MAX_GETS_PER_REPORT && fills.in_flight <= MAX_GETS_PER_REPORT
+                is_count_valid && fills.total <= MAX_GETS_PER_REPORT && fills.in_flight <= MAX_GETS_PER_REPORT
             });
             gets <= MAX_GETS_PER_REPORT
                 && report.late <= MAX_GETS_PER_REPORT
-                && fills
-                && hosts_seen.insert(report.host)
+                && are_fills_valid
+                && reported_hosts.insert(report.host)
         });
-        if sound { Ok(()) } else { Err(ReportError::OutOfRange) }
+        if is_valid { Ok(()) } else { Err(ReportError::OutOfRange) }
     }
 
-    /// When the interval interval_end.
+    /// When the interval ends.
     pub fn deadline(&self) -> Duration {
         self.interval_end
     }
 
-    /// Closes the interval, once it is over.
+    /// Closes the interval and returns its summary, once it is over.
     pub fn close_interval(&mut self, now: Duration) -> Option<Summary> {
         if now < self.interval_end {
             return None;
         }
         self.interval_end = now + self.interval;
-        // Who has not spoken for some intervals is forgotten.
-        let every = self.interval;
-        self.last.retain(|_, at| now < *at + every * 8);
+        // Proxies without a report for some intervals are forgotten.
+        let interval = self.interval;
+        self.last_report.retain(|_, at| now < *at + interval * 8);
         let votes = std::mem::take(&mut self.votes);
         let fills = std::mem::take(&mut self.fills);
         let count = |n: u64| u32::try_from(n).unwrap_or(u32::MAX);
         Some(Summary {
             outcomes: votes
                 .into_iter()
-                .filter(|(_, (good, bad))| good + bad > 0)
-                .map(|(host, (good, bad))| (host, bad <= good))
+                .filter(|(_, (healthy, failed))| healthy + failed > 0)
+                .map(|(host, (healthy, failed))| (host, failed <= healthy))
                 .collect(),
             fills: fills
                 .into_iter()
-                .map(|((source, ds), (all, bad, out))| (source, ds, count(all), count(bad), count(out)))
+                .map(|((source, ds), (total, late_or_failed, in_flight))| {
+                    (source, ds, count(total), count(late_or_failed), count(in_flight))
+                })
                 .collect(),
         })
     }
@@ -192,20 +201,20 @@
     }
 
     #[test]
-    fn one_proxy_is_one_vote_however_much_it_says() {
+    fn one_proxy_has_one_vote_however_many_gets_it_reports() {
         let mut reports = LoadReports::new(ms(500), ms(0));
         reports.add("liar", &[report(0, 0, 900_000)], ms(1)).unwrap();
         reports.add("a", &[report(0, 3, 0)], ms(1)).unwrap();
         reports.add("b", &[report(0, 3, 1)], ms(1)).unwrap();
         assert_eq!(reports.close_interval(ms(499)), None);
         assert_eq!(reports.close_interval(ms(500)).unwrap().outcomes, [(0, true)]);
-        // Again at once, and many times: nothing more.
+        // A further report too soon after the last one has no effect.
         assert_eq!(reports.add("liar", &[report(0, 0, 1)], ms(200)), Err(ReportError::TooSoon));
         assert_eq!(reports.close_interval(ms(1000)).unwrap().outcomes, []);
     }
 
     #[test]
-    fn what_can_not_be_true_is_refused_whole() {
+    fn a_report_with_an_out_of_range_number_is_rejected_as_a_whole() {
         let mut reports = LoadReports::new(ms(500), ms(0));
         let fills = |all, bad| HostReport {
             fills: vec![FillCounts { ds: 0, total: all, late_or_failed: bad, in_flight: 0 }],
@@ -223,10 +232,10 @@
     }
 
     #[test]
-    fn made_up_names_are_bounded() {
+    fn the_number_of_remembered_proxies_is_bounded() {
         let mut reports = LoadReports::new(ms(500), ms(0));
-        for n in 0..MAX_PROXIES {
-            reports.add(&format!("n{n}"), &[], ms(1)).unwrap();
+        for index in 0..MAX_PROXIES {
+            reports.add(&format!("n{index}"), &[], ms(1)).unwrap();
         }
         assert_eq!(reports.add("one more", &[], ms(1)), Err(ReportError::TooManyProxies));
         reports.close_interval(ms(9000));
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -60,7 +60,7 @@
     /// Fraction of its keys that it takes. 0: it takes none now.
     pub part: f64,
     pub near: bool,
-    /// FillCounts that one proxy may have out there.
+    /// Fills that one proxy may have in flight at this host.
     pub fills: u32,
 }
 
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,4 +1,5 @@
-//! The control service's loop: the change log, signals and what gRPC heard come in; what the server has goes out.
+//! The event loop of the control service. Inputs are the change log, signals and the events of the gRPC services; outputs are
+//! the messages of the ADS server.
 
 use crate::ads_server::{AdsServer, PRIORITIES, Priority, StreamEndReason, StreamId};
 use crate::fleet::Fleet;
@@ -26,74 +27,77 @@
 use tokio::sync::oneshot;
 use tonic::Status;
 
-/// How often what changes by itself (warmth, the flag, the end of a purge) is published.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// While a proxy's room is taken, how soon it is looked at again.
-const BLOCKED: Duration = Duration::from_millis(2);
-/// A buffer that the poll reads by way of.
-const SHARED: usize = 64 * 1024;
-/// Messages of one stream in one turn, so that one with much to get keeps none waiting.
-const TURN_MOST: usize = 4;
-/// Questions for a status that wait; each is answered a few streams a turn.
-const SHOWING_MOST: usize = 4;
-/// Lines on what proxies do wrong, in so long.
-const LOG_EVERY: Duration = Duration::from_millis(1000);
+/// How often changes over time (slow-start fractions, the flag that spares the origin, ends of purges) are published.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
+/// Time until the next attempt while a proxy has no capacity for a message.
+const BLOCKED_RETRY: Duration = Duration::from_millis(2);
+/// Size of the read buffer for change log polls.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Messages of one priority to one stream in one turn, so that a stream with many pending messages does not delay others.
+const MAX_MESSAGES_PER_TURN: usize = 4;
+/// Status requests that may wait. Each response is built a few streams per turn.
+const MAX_PENDING_STATUSES: usize = 4;
+/// Minimum time between two warnings.
+const WARNING_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// What stirs in the loop besides signals and gRPC.
+/// Key of the change log socket in the event loop.
 #[derive(Clone, Copy)]
 pub struct ChangeLog;
 
+/// A proxy with an open ADS stream.
 struct ConnectedProxy {
     stream: StreamId,
-    out: ResponseSender,
+    sender: ResponseSender,
 }
 
-/// What is counted, for operators.
+/// Counters for operators.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
     pub opened: u64,
     pub closed: u64,
-    pub turned_away: u64,
+    pub rejected: u64,
     pub requests: u64,
     pub events: u64,
-    pub polls_lost: u64,
-    pub logs_anew: u64,
-    pub pushes: [u64; PRIORITIES.len()],
+    pub failed_polls: u64,
+    pub log_restarts: u64,
+    pub sent_messages: [u64; PRIORITIES.len()],
     pub turns: u64,
-    pub turn_longest_us: u64,
+    pub longest_turn_us: u64,
 }
 
+/// The state of a control service.
 pub struct Service {
     name: String,
     fleet: Fleet,
     server: AdsServer,
     reports: LoadReports,
     zones: Option<ZoneController>,
-    feed: Option<ChangeLogClient<Service>>,
-    feed_stirred: bool,
-    /// The number and the content of the last event that was taken.
+    change_log: Option<ChangeLogClient<Service>>,
+    is_change_log_ready: bool,
+    /// Sequence number and content hash of the last accepted change log event.
     last_event: (u64, u64),
-    hub: LoopHandle<'static, Self>,
-    accounts: Rc<ResourceUsage>,
-    shared: Vec<u8>,
-    heard: Vec<ServiceEvent>,
-    showing: VecDeque<(oneshot::Sender<Result<ClientStatusResponse, String>>, client_status::StatusBuilder)>,
-    ports: BTreeMap<GrpcStreamId, ConnectedProxy>,
+    loop_handle: LoopHandle<'static, Self>,
+    resource_usage: Rc<ResourceUsage>,
+    read_buffer: Vec<u8>,
+    events: Vec<ServiceEvent>,
+    pending_statuses:
+        VecDeque<(oneshot::Sender<Result<ClientStatusResponse, String>>, client_status::StatusBuilder)>,
+    proxies: BTreeMap<GrpcStreamId, ConnectedProxy>,
     now: Duration,
-    look_at: Duration,
-    blocked: bool,
-    changed: bool,
-    log_at: Duration,
-    unsaid: u64,
+    next_publish: Duration,
+    is_blocked: bool,
+    must_publish: bool,
+    next_warning_at: Duration,
+    suppressed_warnings: u64,
     pub counters: Counters,
-    done: bool,
+    is_stopping: bool,
 }
 
 impl ReadinessHandler for Service {
     type Key = ChangeLog;
 
     fn on_socket_ready(&mut self, _: ChangeLog) {
-        self.feed_stirred = true;
+        self.is_change_log_ready = true;
     }
 }
 
@@ -101,41 +105,50 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Runs a control service until it is told to end.
+/// Runs a control service until a termination signal.
 pub fn run(path: PathBuf, file: &OperatorFile) -> Result<(), String> {
-    let mut turns = EventLoop::<Service>::try_new().map_err(|e| format!("no event loop: {e}"))?;
-    let control = file.control.as_ref().ok_or("the file tells of no control service")?;
+    let mut event_loop =
+        EventLoop::<Service>::try_new().map_err(|e| format!("can't create the event loop: {e}"))?;
+    let control = file.control.as_ref().ok_or("the operator file has no control section")?;
     let listener =
         TcpListener::bind(control.listen).map_err(|e| format!("can't listen on {}: {e}", control.listen))?;
-    let address = listener.local_addr().map_err(|e| format!("the listener has no address: {e}"))?;
-    let (hears, heard) = channel::channel();
-    let into = turns.handle().insert_source(heard, |event, _, service| {
-        if let channel::Event::Msg(heard) = event {
-            service.heard.push(heard);
+    let address =
+        listener.local_addr().map_err(|e| format!("can't read the address of the listener: {e}"))?;
+    let (event_sender, event_receiver) = channel::channel();
+    let inserted = event_loop.handle().insert_source(event_receiver, |event, _, service| {
+        if let channel::Event::Msg(service_event) = event {
+            service.events.push(service_event);
         }
     });
-    into.map_err(|e| format!("gRPC can't be heard: {e}"))?;
+    inserted.map_err(|e| format!("can't add the gRPC events to the event loop: {e}"))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP])
-        .map_err(|e| format!("signals can't be watched: {e}"))?;
-    let watched = turns.handle().insert_source(signals, move |signal, _, service| match signal.signal() {
-        Signal::SIGUSR1 => service.report(),
-        Signal::SIGHUP => service.reread(&path),
-        _ => service.done = true,
-    });
-    watched.map_err(|e| format!("signals can't be watched: {e}"))?;
-    let mut service = Service::new(turns.handle(), file, control)?;
-    grpc::serve(listener, hears, control.reports_every)?;
-    log::info!(address:%; "{} gives decisions", service.name);
-    while !service.done {
-        turns.dispatch(service.patience(), &mut service).map_err(|e| format!("the event loop: {e}"))?;
-        service.turn();
+        .map_err(|e| format!("can't create the signal source: {e}"))?;
+    let watched =
+        event_loop.handle().insert_source(signals, move |signal, _, service| match signal.signal() {
+            Signal::SIGUSR1 => service.log_counters(),
+            Signal::SIGHUP => service.reload(&path),
+            _ => service.is_stopping = true,
+        });
+    watched.map_err(|e| format!("can't add the signal source to the event loop: {e}"))?;
+    let mut service = Service::new(event_loop.handle(), file, control)?;
+    grpc::serve(listener, event_sender, control.reports_every)?;
+    log::info!(address:%; "{} serves routing decisions", service.name);
+    while !service.is_stopping {
+        event_loop
+            .dispatch(service.wait_timeout(), &mut service)
+            .map_err(|e| format!("the event loop failed: {e}"))?;
+        service.run_turn();
     }
-    service.report();
+    service.log_counters();
     Ok(())
 }
 
 impl Service {
-    fn new(hub: LoopHandle<'static, Self>, file: &OperatorFile, control: &Control) -> Result<Self, String> {
+    fn new(
+        loop_handle: LoopHandle<'static, Self>,
+        file: &OperatorFile,
+        control: &Control,
+    ) -> Result<Self, String> {
         let clock = Clock::start();
         let now = clock.now();
         let lease = Lease::from_grace_periods(control.drain_grace, control.purge_grace, control.clock_error);
@@ -145,174 +158,190 @@
             server: AdsServer::new(lease, control.most_proxies),
             reports: LoadReports::new(control.reports_every, now),
             zones: ZoneController::from_file(file, control.reports_every, now),
-            feed: control.change_log.map(|address| ChangeLogClient::new(address, ChangeLog).with_overlap()),
-            feed_stirred: false,
+            change_log: control
+                .change_log
+                .map(|address| ChangeLogClient::new(address, ChangeLog).with_overlap()),
+            is_change_log_ready: false,
             last_event: (0, 0),
-            hub,
-            accounts: Rc::new(ResourceUsage::default()),
-            shared: vec![0; SHARED],
-            heard: Vec::new(),
-            showing: VecDeque::new(),
-            ports: BTreeMap::new(),
+            loop_handle,
+            resource_usage: Rc::new(ResourceUsage::default()),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            events: Vec::new(),
+            pending_statuses: VecDeque::new(),
+            proxies: BTreeMap::new(),
             now,
-            look_at: now,
-            blocked: false,
-            changed: true,
-            log_at: now,
-            unsaid: 0,
+            next_publish: now,
+            is_blocked: false,
+            must_publish: true,
+            next_warning_at: now,
+            suppressed_warnings: 0,
             counters: Counters::default(),
-            done: false,
+            is_stopping: false,
         };
-        if service.feed.is_none() {
+        if service.change_log.is_none() {
             service.fleet.load_file_hosts(&file.hosts, now);
             service.server.set_ready();
         }
         Ok(service)
     }
 
-    /// Follows the hosts that the file names now; all else stays as it was.
-    fn reread(&mut self, path: &std::path::Path) {
-        let told = std::fs::read_to_string(path).map_err(|e| e.to_string());
-        let told = told.and_then(|text| {
-            let all = |faults: Vec<myrtlegauge_operator::Fault>| {
+    /// Reloads the hosts of the operator file. Everything else stays unchanged.
+    fn reload(&mut self, path: &std::path::Path) {
+        let file = std::fs::read_to_string(path).map_err(|e| e.to_string());
+        let file = file.and_then(|text| {
+            let join = |faults: Vec<myrtlegauge_operator::Fault>| {
                 faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
             };
-            myrtlegauge_operator::read(&text).map_err(all)
+            myrtlegauge_operator::read(&text).map_err(join)
         });
-        match told {
-            Err(fault) => log::error!("not read anew, what was known stays: {fault}"),
-            Ok(_) if self.feed.is_some() => {
-                log::info!("read anew: hosts are told by the change log, nothing to do")
+        match file {
+            Err(error) => log::error!("operator file not reloaded, keeping the previous hosts: {error}"),
+            Ok(_) if self.change_log.is_some() => {
+                log::info!("operator file reloaded: hosts come from the change log, nothing changes")
             }
             Ok(file) => {
-                log::info!(hosts = file.hosts.len(); "read anew");
+                log::info!(hosts = file.hosts.len(); "operator file reloaded");
                 self.now = self.fleet.clock().now();
                 self.fleet.load_file_hosts(&file.hosts, self.now);
-                self.changed = true;
+                self.must_publish = true;
             }
         }
     }
 
-    fn patience(&self) -> Duration {
-        let feed = self.feed.as_ref().map_or(Duration::MAX, |feed| feed.deadline);
-        let mut due =
-            self.look_at.min(self.server.next_deadline(self.now)).min(self.reports.deadline()).min(feed);
-        if self.blocked {
-            due = due.min(self.now + BLOCKED);
+    /// How long the event loop may wait for events.
+    fn wait_timeout(&self) -> Duration {
+        let change_log_deadline =
+            self.change_log.as_ref().map_or(Duration::MAX, |change_log| change_log.deadline);
+        let mut deadline = self
+            .next_publish
+            .min(self.server.next_deadline(self.now))
+            .min(self.reports.deadline())
+            .min(change_log_deadline);
+        if self.is_blocked {
+            deadline = deadline.min(self.now + BLOCKED_RETRY);
         }
-        let quiet = self.heard.is_empty() && !self.feed_stirred && self.showing.is_empty();
-        if quiet { due.saturating_sub(self.fleet.clock().now()) } else { Duration::ZERO }
+        let is_idle = self.events.is_empty() && !self.is_change_log_ready && self.pending_statuses.is_empty();
+        if is_idle { deadline.saturating_sub(self.fleet.clock().now()) } else { Duration::ZERO }
     }
 
-    /// All that came since the last turn, and all that may go out.
-    fn turn(&mut self) {
+    /// Handles everything received since the last turn and sends everything that may be sent.
+    fn run_turn(&mut self) {
         self.now = self.fleet.clock().now();
-        let began = self.now;
-        self.follow();
-        for heard in std::mem::take(&mut self.heard) {
-            self.hear(heard);
+        let started = self.now;
+        self.poll_change_log();
+        for event in std::mem::take(&mut self.events) {
+            self.on_event(event);
         }
         if let Some(summary) = self.reports.close_interval(self.now) {
             self.fleet.on_load_summary(&summary, self.now);
-            self.changed |= !summary.outcomes.is_empty() || !summary.fills.is_empty();
+            self.must_publish |= !summary.outcomes.is_empty() || !summary.fills.is_empty();
         }
-        if self.now >= self.look_at {
+        if self.now >= self.next_publish {
             self.fleet.on_timer(self.now);
-            self.look_at_zones();
-            (self.look_at, self.changed) = (self.now + LOOK_EVERY, true);
+            self.update_zones();
+            (self.next_publish, self.must_publish) = (self.now + PUBLISH_INTERVAL, true);
         }
-        if std::mem::take(&mut self.changed) {
-            self.fleet.publish(&mut self.server, self.ports.len(), self.now, unix_ms());
+        if std::mem::take(&mut self.must_publish) {
+            self.fleet.publish(&mut self.server, self.proxies.len(), self.now, unix_ms());
             if let Some(zones) = &self.zones {
                 zones.publish(&mut self.server, self.now, unix_ms());
             }
         }
-        let stuck = self.server.advance(self.now);
-        self.end(&stuck, &StreamEndReason::AckTimeout);
-        self.push();
-        if let Some((_, showing)) = self.showing.front_mut()
-            && let Some(whole) = showing.advance(&self.server, self.now)
-            && let Some((reply, _)) = self.showing.pop_front()
+        let timed_out = self.server.advance(self.now);
+        self.end(&timed_out, &StreamEndReason::AckTimeout);
+        self.send_pending();
+        if let Some((_, builder)) = self.pending_statuses.front_mut()
+            && let Some(mut response) = builder.advance(&self.server, self.now)
+            && let Some((reply, _)) = self.pending_statuses.pop_front()
         {
-            let mut whole = whole;
             let zones = self.zones.as_ref().map(|zones| zones.statuses(self.now));
-            whole.config.extend(zones.into_iter().flatten());
-            let _ = reply.send(Ok(whole));
+            response.config.extend(zones.into_iter().flatten());
+            let _ = reply.send(Ok(response));
         }
         self.counters.turns += 1;
-        let took = self.fleet.clock().now().saturating_sub(began).as_micros() as u64;
-        self.counters.turn_longest_us = self.counters.turn_longest_us.max(took);
+        let elapsed_us = self.fleet.clock().now().saturating_sub(started).as_micros() as u64;
+        self.counters.longest_turn_us = self.counters.longest_turn_us.max(elapsed_us);
     }
 
-    /// Verdicts on zones, and what part of their keys hosts take by them.
-    fn look_at_zones(&mut self) {
+    /// Updates the verdicts on zones, and the fraction of keys that their hosts take accordingly.
+    fn update_zones(&mut self) {
         let Some(zones) = &mut self.zones else { return };
-        self.changed |= zones.tick(self.now);
-        let parts: Vec<_> = zones.key_fractions(self.now).collect();
-        self.fleet.withhold(&parts, self.now);
+        self.must_publish |= zones.tick(self.now);
+        let key_fractions: Vec<_> = zones.key_fractions(self.now).collect();
+        self.fleet.withhold(&key_fractions, self.now);
     }
 
-    /// The change log's answers.
-    fn follow(&mut self) {
-        let Some(mut feed) = self.feed.take() else { return };
-        self.counters.polls_lost += u64::from(feed.poll_if_due(&self.hub, &self.accounts, self.now));
-        let mut more = std::mem::take(&mut self.feed_stirred);
-        while more {
-            more = feed.on_ready(&mut self.shared, self.now);
+    /// Polls the change log and handles its answers.
+    fn poll_change_log(&mut self) {
+        let Some(mut change_log) = self.change_log.take() else { return };
+        self.counters.failed_polls +=
+            u64::from(change_log.poll_if_due(&self.loop_handle, &self.resource_usage, self.now));
+        let mut has_more = std::mem::take(&mut self.is_change_log_ready);
+        while has_more {
+            has_more = change_log.on_ready(&mut self.read_buffer, self.now);
             loop {
-                match feed.next_answer(self.now) {
-                    Ok(Some(body)) => self.polled(&mut feed, &body),
+                match change_log.next_answer(self.now) {
+                    Ok(Some(body)) => self.on_change_log_answer(&mut change_log, &body),
                     Ok(None) => break,
-                    Err(StreamError(what)) => {
-                        self.counters.polls_lost += 1;
-                        self.fault(what);
-                        feed.disconnect(self.now);
+                    Err(StreamError(error)) => {
+                        self.counters.failed_polls += 1;
+                        self.warn(error);
+                        change_log.disconnect(self.now);
                         break;
                     }
                 }
             }
         }
-        self.counters.polls_lost += u64::from(feed.poll_if_due(&self.hub, &self.accounts, self.now));
-        self.feed = Some(feed);
+        self.counters.failed_polls +=
+            u64::from(change_log.poll_if_due(&self.loop_handle, &self.resource_usage, self.now));
+        self.change_log = Some(change_log);
     }
 
-    fn polled(&mut self, feed: &mut ChangeLogClient<Self>, body: &[u8]) {
+    fn on_change_log_answer(&mut self, change_log: &mut ChangeLogClient<Self>, body: &[u8]) {
         let changes: Changes<'_> = match serde_json::from_slice(body) {
             Ok(changes) => changes,
             Err(e) => {
-                self.counters.polls_lost += 1;
-                self.fault(&format!("an answer of the change log can't be read: {e}"));
-                return feed.disconnect(self.now);
+                self.counters.failed_polls += 1;
+                self.warn(&format!("can't decode an answer of the change log, reconnecting: {e}"));
+                return change_log.disconnect(self.now);
             }
         };
-        // Its numbers went back, or the last event that was taken is another now.
-        let said = |change: &Change<'_>| twox_hash::XxHash64::oneshot(0, format!("{change:?}").as_bytes());
-        let other =
-            |change: &Change<'_>| change.seq == self.last_event.0 && said(change) != self.last_event.1;
-        if changes.last_seq < feed.last_seq || changes.results.iter().any(other) {
-            self.counters.logs_anew += 1;
-            feed.resync_from_start(self.now);
+        // Sequence numbers decreased, or the last accepted event has different content now: the change log restarted.
+        let content_hash =
+            |change: &Change<'_>| twox_hash::XxHash64::oneshot(0, format!("{change:?}").as_bytes());
+        let is_different = |change: &Change<'_>| {
+            change.seq == self.last_event.0 && content_hash(change) != self.last_event.1
+        };
+        if changes.last_seq < change_log.last_seq || changes.results.iter().any(is_different) {
+            self.counters.log_restarts += 1;
+            change_log.resync_from_start(self.now);
             self.last_event = (0, 0);
-            return log::warn!(last = changes.last_seq; "the change log began anew: asked for all");
+            return log::warn!(last = changes.last_seq; "change log restarted, requesting all events again");
         }
-        let before = feed.last_seq;
+        let previous_seq = change_log.last_seq;
         for change in &changes.results {
-            match feed.accept(change.seq, self.now) {
+            match change_log.accept(change.seq, self.now) {
                 SequenceCheck::Duplicate => continue,
                 SequenceCheck::GapRetried(last) => {
-                    return self.fault(&format!("the change log went from {last} to {}", change.seq));
+                    return self.warn(&format!(
+                        "change log skipped from event {last} to {}, requesting the missing events again",
+                        change.seq
+                    ));
                 }
                 SequenceCheck::GapAccepted(last) => {
-                    self.fault(&format!("the change log went from {last} to {}", change.seq));
+                    self.warn(&format!(
+                        "change log skipped from event {last} to {}, continuing without the missing events",
+                        change.seq
+                    ));
                 }
                 SequenceCheck::Next => {}
             }
             self.counters.events += 1;
-            self.changed = true;
-            self.last_event = (change.seq, said(change));
+            self.must_publish = true;
+            self.last_event = (change.seq, content_hash(change));
             if let Some(fleet) = &change.fleet {
                 self.fleet.on_host_list(&fleet.endpoints, fleet.snapshot, self.now);
-                // Nothing is said before the first whole list: it would be taken for all there is.
+                // Nothing is sent before the first full list, since proxies would take it for the complete state.
                 if fleet.snapshot {
                     self.server.set_ready();
                 }
@@ -321,123 +350,129 @@
                 self.fleet.on_purge(purge, self.now);
             }
         }
-        if feed.last_seq == before {
-            feed.on_empty_answer(self.now);
+        if change_log.last_seq == previous_seq {
+            change_log.on_empty_answer(self.now);
         }
     }
 
-    fn hear(&mut self, heard: ServiceEvent) {
-        match heard {
-            ServiceEvent::Opened { ticket, peer, out } => {
-                match self.server.open_stream(out.variant(), &peer, self.now) {
+    fn on_event(&mut self, event: ServiceEvent) {
+        match event {
+            ServiceEvent::Opened { stream_id, peer, sender } => {
+                match self.server.open_stream(sender.variant(), &peer, self.now) {
                     Ok(stream) => {
                         self.counters.opened += 1;
-                        log::debug!(peer, form:? = out.variant(); "a proxy's stream begins");
-                        self.ports.insert(ticket, ConnectedProxy { stream, out });
+                        log::debug!(peer, form:? = sender.variant(); "proxy opened a stream");
+                        self.proxies.insert(stream_id, ConnectedProxy { stream, sender });
                     }
-                    Err(refusal) => {
-                        self.counters.turned_away += 1;
-                        self.fault(&refusal.to_string());
-                        out.end(Status::resource_exhausted(refusal.to_string()));
+                    Err(reason) => {
+                        self.counters.rejected += 1;
+                        self.warn(&reason.to_string());
+                        sender.end(Status::resource_exhausted(reason.to_string()));
                     }
                 }
             }
-            ServiceEvent::Requested { ticket, node, request, permit } => {
-                let Some(port) = self.ports.get(&ticket) else { return };
+            ServiceEvent::Requested { stream_id, node, request, permit } => {
+                let Some(proxy) = self.proxies.get(&stream_id) else { return };
                 self.counters.requests += 1;
-                let stream = port.stream;
+                let stream = proxy.stream;
                 if !node.is_empty() {
                     self.server.set_node(stream, &node);
                 }
-                if let Some(why) = &request.error_detail {
-                    self.fault(&format!("a proxy refuses what it was sent of {}: {why}", request.type_url));
+                if let Some(error) = &request.error_detail {
+                    self.warn(&format!(
+                        "proxy rejected a message of type {}, keeping the stream open: {error}",
+                        request.type_url
+                    ));
                 }
-                if let Err(refusal) = self.server.on_request(stream, &request, self.now) {
-                    self.end(&[stream], &refusal);
+                if let Err(reason) = self.server.on_request(stream, &request, self.now) {
+                    self.end(&[stream], &reason);
                 }
                 drop(permit);
             }
-            ServiceEvent::Closed { ticket } => {
-                if let Some(port) = self.ports.remove(&ticket) {
+            ServiceEvent::Closed { stream_id } => {
+                if let Some(proxy) = self.proxies.remove(&stream_id) {
                     self.counters.closed += 1;
-                    self.server.close_stream(port.stream);
+                    self.server.close_stream(proxy.stream);
                 }
             }
             ServiceEvent::Reported { report, permit } => {
-                self.reported(&report);
+                self.on_load_report(&report);
                 drop(permit);
             }
             ServiceEvent::StatusRequested { order: Some((zone, order)), reply } => {
-                let none = || Err("this service decides of no zones".to_owned());
+                let no_zones = || Err("this control service does not decide on zones".to_owned());
                 let now = self.now;
-                let done = self.zones.as_mut().map_or_else(none, |zones| zones.order(&zone, &order, now));
-                match done {
+                let result =
+                    self.zones.as_mut().map_or_else(no_zones, |zones| zones.order(&zone, &order, now));
+                match result {
                     Ok(()) => {
-                        self.look_at_zones();
-                        self.showing.push_back((reply, client_status::StatusBuilder::default()));
+                        self.update_zones();
+                        self.pending_statuses.push_back((reply, client_status::StatusBuilder::default()));
                     }
-                    Err(why) => drop(reply.send(Err(why))),
+                    Err(error) => drop(reply.send(Err(error))),
                 }
             }
             ServiceEvent::StatusRequested { order: None, reply } => {
-                // Who asks too often is told that it can't be had, as its answer's end.
-                if self.showing.len() < SHOWING_MOST {
-                    self.showing.push_back((reply, client_status::StatusBuilder::default()));
+                // Beyond the limit the reply channel is dropped, and the client gets an `unavailable` error.
+                if self.pending_statuses.len() < MAX_PENDING_STATUSES {
+                    self.pending_statuses.push_back((reply, client_status::StatusBuilder::default()));
                 }
             }
         }
     }
 
-    /// Ends streams for a reason that their proxies are told.
-    fn end(&mut self, streams: &[StreamId], why: &StreamEndReason) {
+    /// Ends streams. The reason is sent to their proxies.
+    fn end(&mut self, streams: &[StreamId], reason: &StreamEndReason) {
         let ended: BTreeSet<_> = streams.iter().collect();
-        let over: Vec<_> = self.ports.extract_if(.., |_, port| ended.contains(&port.stream)).collect();
-        for (_, port) in over {
+        let ended_proxies: Vec<_> =
+            self.proxies.extract_if(.., |_, proxy| ended.contains(&proxy.stream)).collect();
+        for (_, proxy) in ended_proxies {
             self.counters.closed += 1;
-            self.fault(&why.to_string());
-            port.out.end(Status::resource_exhausted(why.to_string()));
-            self.server.close_stream(port.stream);
+            self.warn(&reason.to_string());
+            proxy.sender.end(Status::resource_exhausted(reason.to_string()));
+            self.server.close_stream(proxy.stream);
         }
     }
 
-    /// What is most pressing first, over all proxies; a proxy without room keeps none of the others waiting.
-    fn push(&mut self) {
-        self.blocked = false;
+    /// Sends pending messages, highest priority first over all proxies. A proxy without capacity does not delay the others.
+    fn send_pending(&mut self) {
+        self.is_blocked = false;
         let unix_ms = unix_ms();
-        for (priority, pushed) in PRIORITIES.into_iter().zip(&mut self.counters.pushes) {
-            // What is handed over can't be overtaken: little that is ordinary, and some room for what is urgent.
-            let wanted = match priority {
+        for (priority, sent) in PRIORITIES.into_iter().zip(&mut self.counters.sent_messages) {
+            // Messages in the outbox can't be overtaken, so an ordinary message is only sent into an empty one, and some
+            // capacity is kept for urgent messages.
+            let required_capacity = match priority {
                 Priority::Urgent => 1,
                 Priority::Heartbeat => 2,
                 Priority::Ordinary => OUTBOX_CAPACITY,
             };
-            for port in self.ports.values() {
-                for _ in 0..TURN_MOST {
-                    if port.out.room() < wanted {
-                        self.blocked |= priority == Priority::Urgent || !self.server.is_idle(port.stream);
+            for proxy in self.proxies.values() {
+                for _ in 0..MAX_MESSAGES_PER_TURN {
+                    if proxy.sender.capacity() < required_capacity {
+                        self.is_blocked |= priority == Priority::Urgent || !self.server.is_idle(proxy.stream);
                         break;
                     }
-                    let Some(message) = self.server.next_message(port.stream, priority, self.now, unix_ms)
+                    let Some(message) = self.server.next_message(proxy.stream, priority, self.now, unix_ms)
                     else {
                         break;
                     };
-                    port.out.send(message, &self.name);
-                    *pushed += 1;
+                    proxy.sender.send(message, &self.name);
+                    *sent += 1;
                 }
             }
         }
     }
 
-    /// A report as the module beside the decision module takes it.
-    fn reported(&mut self, told: &LoadStatsRequest) {
-        let node = told.node.as_ref().map(|node| node.id.as_str()).unwrap_or_default();
-        let localities = told.cluster_stats.iter().flat_map(|cluster| &cluster.upstream_locality_stats);
+    /// Decodes a load report and adds it to the summary and to the evidence on zones.
+    fn on_load_report(&mut self, request: &LoadStatsRequest) {
+        let node = request.node.as_ref().map(|node| node.id.as_str()).unwrap_or_default();
+        let localities = request.cluster_stats.iter().flat_map(|cluster| &cluster.upstream_locality_stats);
         let mut hosts = Vec::new();
         for stats in localities.flat_map(|locality| &locality.upstream_endpoint_stats) {
             let address = stats.address.as_ref().and_then(messages::parse_address);
-            // Of a host that is not known, or no more, nothing is to be learnt.
-            let named = stats.metadata.as_ref().and_then(messages::host_name_from_metadata);
-            let host = named
+            // Reports on unknown or removed hosts are ignored.
+            let host_name = stats.metadata.as_ref().and_then(messages::host_name_from_metadata);
+            let host = host_name
                 .map_or_else(|| self.fleet.host_by_address(address?), |name| self.fleet.host_by_name(name));
             let Some(host) = host else { continue };
             let mut report = HostReport {
@@ -450,14 +485,14 @@
                 if metric.metric_name == "late" {
                     report.late = metric.num_requests_finished_with_metric;
                 }
-                let Some((what, service)) = metric.metric_name.split_once('/') else { continue };
+                let Some((metric_kind, service)) = metric.metric_name.split_once('/') else { continue };
                 let Some(ds) = self.fleet.service_index(service) else { continue };
-                let at = report.fills.iter().position(|fills| fills.ds == ds).unwrap_or_else(|| {
+                let index = report.fills.iter().position(|fills| fills.ds == ds).unwrap_or_else(|| {
                     report.fills.push(FillCounts { ds, ..FillCounts::default() });
                     report.fills.len() - 1
                 });
-                let fills = &mut report.fills[at];
-                match what {
+                let fills = &mut report.fills[index];
+                match metric_kind {
                     "fills" => {
                         (fills.total, fills.late_or_failed) =
                             (metric.num_requests_finished_with_metric, metric.total_metric_value);
@@ -468,12 +503,12 @@
             }
             hosts.push(report);
         }
-        if let Err(disbelief) = self.reports.add(node, &hosts, self.now) {
-            return self.fault(&format!("a load report of {node:?} is not believed: {disbelief}"));
+        if let Err(error) = self.reports.add(node, &hosts, self.now) {
+            return self.warn(&format!("load report of {node:?} rejected: {error}"));
         }
-        // Only now are the numbers bounded, and may be added up.
+        // The numbers of an accepted report are bounded, so they can be summed.
         if let Some(zones) = &mut self.zones {
-            let seen: Vec<_> = hosts
+            let outcomes: Vec<_> = hosts
                 .iter()
                 .map(|&HostReport { host, returned, errored, late, .. }| zoning::HostOutcomes {
                     zone: self.fleet.zone_of(host),
@@ -482,30 +517,31 @@
                     late,
                 })
                 .collect();
-            let held = told.node.as_ref().and_then(|node| node.metadata.as_ref());
-            let taken = held.map_or(0, messages::gets_taken);
-            zones.on_report(node, &seen, taken, sum_fills(&hosts), held, self.now);
+            let node_metadata = request.node.as_ref().and_then(|node| node.metadata.as_ref());
+            let gets_taken = node_metadata.map_or(0, messages::gets_taken);
+            zones.on_report(node, &outcomes, gets_taken, sum_fills(&hosts), node_metadata, self.now);
         }
     }
 
-    /// One line at most in a while, with how many went by without one.
-    fn fault(&mut self, what: &str) {
-        if self.now < self.log_at {
-            self.unsaid += 1;
+    /// Logs at most one warning per interval, with the number of suppressed warnings.
+    fn warn(&mut self, message: &str) {
+        if self.now < self.next_warning_at {
+            self.suppressed_warnings += 1;
             return;
         }
-        log::warn!(unsaid = std::mem::take(&mut self.unsaid); "{what}");
-        self.log_at = self.now + LOG_EVERY;
+        log::warn!(unsaid = std::mem::take(&mut self.suppressed_warnings); "{message}");
+        self.next_warning_at = self.now + WARNING_INTERVAL;
     }
 
-    fn report(&self) {
-        let Counters { opened, closed, turned_away, requests, events, polls_lost, logs_anew, .. } =
+    fn log_counters(&self) {
+        let Counters { opened, closed, rejected, requests, events, failed_polls, log_restarts, .. } =
+            self.counters;
+        let Counters { sent_messages: [urgent, heartbeats, ordinary], turns, longest_turn_us, .. } =
             self.counters;
-        let Counters { pushes: [urgent, beats, ordinary], turns, turn_longest_us, .. } = self.counters;
-        log::info!(opened, closed, turned_away, open = self.ports.len(), requests; "streams");
-        log::info!(urgent, beats, ordinary; "messages");
-        log::info!(events, polls_lost, logs_anew, hosts = self.fleet.len(), faults = self.fleet.faults; "change log");
+        log::info!(opened, closed, turned_away = rejected, open = self.proxies.len(), requests; "streams");
+        log::info!(urgent, beats = heartbeats, ordinary; "messages");
+        log::info!(events, polls_lost = failed_polls, logs_anew = log_restarts, hosts = self.fleet.len(), faults = self.fleet.faults; "change log");
         log::info!(taken = self.reports.accepted, disbelieved = self.reports.rejected; "reports");
-        log::info!(turns, turn_longest_us; "loop");
+        log::info!(turns, turn_longest_us = longest_turn_us; "loop");
     }
 }
--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -1,4 +1,4 @@
-//! What a follower reads off the published streams, and what it answers.
+//! The client side of an ADS stream: decodes responses, applies them to a follower and builds the requests.
 
 use crate::ads_server::ProtocolVariant;
 use crate::follower::{Follower, nonce_unix_ms, subscriptions};
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// gRPC's code for what was refused.
-const INVALID: i32 = 3;
+/// The gRPC status code of a NACK.
+const INVALID_ARGUMENT: i32 = 3;
 
-/// A response of either form.
+/// A discovery response of either protocol variant.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     pub resource_type: Option<ResourceType>,
@@ -26,16 +26,17 @@
     pub removed: Vec<String>,
 }
 
+/// A resource in a response.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedResource {
     pub name: String,
     pub version: String,
-    /// None: the time to live alone.
+    /// None: the resource only renews its time to live.
     pub body: Option<Vec<u8>>,
     pub ttl: Option<Duration>,
 }
 
-fn wrapped(resource: Resource) -> ReceivedResource {
+fn from_wrapper(resource: Resource) -> ReceivedResource {
     let ttl = resource.ttl.map(|ttl| {
         Duration::new(ttl.seconds.try_into().unwrap_or(0), ttl.nanos.clamp(0, 999_999_999) as u32)
     });
@@ -49,7 +50,7 @@
             if any.type_url != Resource::type_url() {
                 return ReceivedResource { body: Some(any.value), ..ReceivedResource::default() };
             }
-            Resource::decode(&*any.value).map(wrapped).unwrap_or_default()
+            Resource::decode(&*any.value).map(from_wrapper).unwrap_or_default()
         });
         Self {
             resource_type: ResourceType::from_type_url(&response.type_url),
@@ -69,20 +70,20 @@
             type_url: response.type_url,
             version: String::new(),
             nonce: response.nonce,
-            resources: response.resources.into_iter().map(wrapped).collect(),
+            resources: response.resources.into_iter().map(from_wrapper).collect(),
             removed: response.removed_resources,
         }
     }
 }
 
-/// A follower with what it must remember of its streams.
+/// A follower with the state that it keeps from stream to stream.
 pub struct Session {
     pub follower: Follower,
     variant: ProtocolVariant,
     node: String,
-    /// What a new stream is told that it holds.
-    holds: BTreeMap<(ResourceType, String), String>,
-    accepted: BTreeMap<ResourceType, String>,
+    /// Versions that it holds, sent in the first requests of a new delta stream.
+    held_versions: BTreeMap<(ResourceType, String), String>,
+    accepted_versions: BTreeMap<ResourceType, String>,
 }
 
 impl Session {
@@ -91,8 +92,8 @@
             follower: Follower::default(),
             variant,
             node: node.to_owned(),
-            holds: BTreeMap::new(),
-            accepted: BTreeMap::new(),
+            held_versions: BTreeMap::new(),
+            accepted_versions: BTreeMap::new(),
         }
     }
 
@@ -104,69 +105,72 @@
         Some(Node { id: self.node.clone(), ..Default::default() })
     }
 
-    /// The first requests of a new stream.
+    /// The first requests of a new state-of-the-world stream.
     pub fn initial_whole_requests(&self) -> Vec<DiscoveryRequest> {
-        let asked = subscriptions(ProtocolVariant::Whole).into_iter().map(|(resource_type, names)| {
+        let requests = subscriptions(ProtocolVariant::Whole).into_iter().map(|(resource_type, names)| {
             DiscoveryRequest {
-                version_info: self.accepted.get(&resource_type).cloned().unwrap_or_default(),
+                version_info: self.accepted_versions.get(&resource_type).cloned().unwrap_or_default(),
                 node: self.node(),
                 resource_names: names.iter().map(|name| (*name).to_owned()).collect(),
                 type_url: resource_type.type_url().into(),
                 ..Default::default()
             }
         });
-        asked.collect()
+        requests.collect()
     }
 
+    /// The first requests of a new delta stream.
     pub fn initial_delta_requests(&self) -> Vec<DeltaDiscoveryRequest> {
-        let asked = subscriptions(ProtocolVariant::Delta).into_iter().map(|(resource_type, names)| {
-            let held = self.holds.iter().filter(|((of, _), _)| *of == resource_type);
+        let requests = subscriptions(ProtocolVariant::Delta).into_iter().map(|(resource_type, names)| {
+            let held = self.held_versions.iter().filter(|((held_type, _), _)| *held_type == resource_type);
             DeltaDiscoveryRequest {
                 node: self.node(),
                 type_url: resource_type.type_url().into(),
                 resource_names_subscribe: names.iter().map(|name| (*name).to_owned()).collect(),
-                initial_resource_versions: held.map(|((_, name), v)| (name.clone(), v.clone())).collect(),
+                initial_resource_versions: held
+                    .map(|((_, name), version)| (name.clone(), version.clone()))
+                    .collect(),
                 ..Default::default()
             }
         });
-        asked.collect()
+        requests.collect()
     }
 
-    /// Takes a response; why it is refused, if it is. What could be used of one that is refused stays: a drain or a purge
-    /// beside what can't be read is not lost.
+    /// Applies a response. The error is the reason for a NACK. The usable resources of a rejected response stay applied, so
+    /// that a drain or a purge beside an unusable resource is not lost.
     pub fn apply(&mut self, response: &Response, now_ms: u64) -> Result<(), String> {
         let Some(resource_type) = response.resource_type else {
-            return Err(format!("{} is not a type known here", response.type_url));
+            return Err(format!("unknown resource type {}", response.type_url));
         };
-        let mut refused = Ok(());
+        let mut outcome = Ok(());
         for resource in &response.resources {
             if let Some(body) = &resource.body {
                 match self.follower.apply(resource_type, &resource.name, body, now_ms) {
                     Ok(()) => {
                         let name = (resource_type, resource.name.clone());
-                        self.holds.insert(name, resource.version.clone());
+                        self.held_versions.insert(name, resource.version.clone());
                     }
-                    Err(why) => refused = Err(format!("{}: {why}", resource.name)),
+                    Err(error) => outcome = Err(format!("{}: {error}", resource.name)),
                 }
             }
         }
         for name in &response.removed {
             self.follower.remove(resource_type, name, now_ms);
-            self.holds.remove(&(resource_type, name.clone()));
+            self.held_versions.remove(&(resource_type, name.clone()));
         }
-        if refused.is_ok() {
-            self.accepted.insert(resource_type, response.version.clone());
-            // The lease vouches for what was taken; one that came with what was refused vouches for nothing.
+        if outcome.is_ok() {
+            self.accepted_versions.insert(resource_type, response.version.clone());
+            // A lease covers what was applied. A lease in a rejected response is ignored.
             let ttl = response.resources.iter().filter_map(|resource| resource.ttl).max();
             if let (Some(ttl), Some(written)) = (ttl, nonce_unix_ms(&response.nonce)) {
                 self.follower.extend_lease(ttl, written, now_ms);
             }
         }
-        refused
+        outcome
     }
 
-    /// The answer to a response.
-    pub fn acknowledge_whole(&self, response: &Response, refused: Option<String>) -> DiscoveryRequest {
+    /// The ACK, or with an error the NACK, of a state-of-the-world response.
+    pub fn acknowledge_whole(&self, response: &Response, error: Option<String>) -> DiscoveryRequest {
         let names = subscriptions(ProtocolVariant::Whole)
             .into_iter()
             .find(|(resource_type, _)| Some(*resource_type) == response.resource_type);
@@ -174,21 +178,30 @@
         DiscoveryRequest {
             version_info: response
                 .resource_type
-                .and_then(|resource_type| self.accepted.get(&resource_type).cloned())
+                .and_then(|resource_type| self.accepted_versions.get(&resource_type).cloned())
                 .unwrap_or_default(),
             resource_names: names.iter().map(|name| (*name).to_owned()).collect(),
             type_url: response.type_url.clone(),
             response_nonce: response.nonce.clone(),
-            error_detail: refused.map(|message| Status { code: INVALID, message, ..Default::default() }),
+            error_detail: error.map(|message| Status {
+                code: INVALID_ARGUMENT,
+                message,
+                ..Default::default()
+            }),
             ..Default::default()
         }
     }
 
-    pub fn acknowledge_delta(&self, response: &Response, refused: Option<String>) -> DeltaDiscoveryRequest {
+    /// The ACK, or with an error the NACK, of a delta response.
+    pub fn acknowledge_delta(&self, response: &Response, error: Option<String>) -> DeltaDiscoveryRequest {
         DeltaDiscoveryRequest {
             type_url: response.type_url.clone(),
             response_nonce: response.nonce.clone(),
-            error_detail: refused.map(|message| Status { code: INVALID, message, ..Default::default() }),
+            error_detail: error.map(|message| Status {
+                code: INVALID_ARGUMENT,
+                message,
+                ..Default::default()
+            }),
             ..Default::default()
         }
     }
--- a/crates/control/src/zoning.rs
+++ b/crates/control/src/zoning.rs
@@ -1,5 +1,5 @@
-//! The fleet's verdicts on zones in a control service: evidence out of load reports, verdicts as notices, what operators are
-//! shown and order. What is decided is decided in `myrtlegauge_zones`.
+//! The verdicts on zones in a control service: evidence from load reports, verdicts as published notices, status for
+//! operators and their orders. The decisions are made in `myrtlegauge_zones`.
 
 use crate::ads_server::AdsServer;
 use crate::client_status::{number, text};
@@ -12,7 +12,7 @@
 use myrtlegauge_zones::{Fleet, Order, Saw, Terms, Verdict};
 use std::time::Duration;
 
-/// What a report says of one host: its zone, GETs returned, those that failed, those late.
+/// The outcomes at one host in a load report.
 #[derive(Clone, Copy, Debug)]
 pub struct HostOutcomes {
     pub zone: usize,
@@ -21,124 +21,129 @@
     pub late: u64,
 }
 
+/// Decides on zones and publishes the verdicts.
 pub struct ZoneController {
-    core: Fleet,
-    /// The footprint's numbers of the zones.
-    numbers: Vec<usize>,
+    fleet: Fleet,
+    /// The indices of the zones in the site settings, in the order of `fleet.zones`.
+    zone_indices: Vec<usize>,
 }
 
 impl ZoneController {
-    /// Where the file asks for it.
+    /// Creates the controller if the operator file has settings for it.
     pub fn from_file(file: &OperatorFile, reports_every: Duration, now: Duration) -> Option<Self> {
-        let told = file.control.as_ref()?.zones?;
+        let settings = file.control.as_ref()?.zones?;
         let zones: Vec<_> = file.zones.iter().map(|zone| (zone.name.clone(), zone.bears)).collect();
-        let start = |name: &str| file.facts.get("obligations").and_then(|o| o.get(name)?.as_f64());
+        let slow_start_value = |name: &str| {
+            file.facts.get("obligations").and_then(|obligations| obligations.get(name)?.as_f64())
+        };
         let terms = Terms {
-            quorum: told.quorum,
-            least_voters: told.least_voters,
+            quorum: settings.quorum,
+            least_voters: settings.least_voters,
             reports_every,
-            hold: told.hold,
-            tries: told.tries,
-            cold_share: start("start_capacity").unwrap_or(1.0),
-            warm_within: Duration::from_secs_f64(start("warm_within_ms").unwrap_or(0.0) / 1e3),
+            hold: settings.hold,
+            tries: settings.tries,
+            cold_share: slow_start_value("start_capacity").unwrap_or(1.0),
+            warm_within: Duration::from_secs_f64(slow_start_value("warm_within_ms").unwrap_or(0.0) / 1e3),
         };
-        let numbers = file.zones.iter().map(|zone| zone.number).collect();
-        Some(Self { core: Fleet::new(terms, &zones, now), numbers })
+        let zone_indices = file.zones.iter().map(|zone| zone.number).collect();
+        Some(Self { fleet: Fleet::new(terms, &zones, now), zone_indices })
     }
 
-    /// Takes one dispatcher's report: what it saw of hosts, GETs that it took, its fills at sources, the verdicts that it holds.
+    /// Adds the report of one dispatcher: its outcomes at hosts, the number of GETs it took, its fills at sources, and the
+    /// verdicts that it holds.
     pub fn on_report(
         &mut self,
         node: &str,
         hosts: &[HostOutcomes],
-        taken: u64,
+        gets_taken: u64,
         fills: (u64, u64),
-        held: Option<&Struct>,
+        node_metadata: Option<&Struct>,
         now: Duration,
     ) {
-        self.core.reported(node, taken, fills, now);
-        for (at, &zone) in self.numbers.iter().enumerate() {
-            let (mut saw, mut gets) = (Saw::default(), 0);
+        self.fleet.reported(node, gets_taken, fills, now);
+        for (index, &zone) in self.zone_indices.iter().enumerate() {
+            let (mut evidence, mut gets) = (Saw::default(), 0);
             for host in hosts.iter().filter(|host| host.zone == zone) {
-                let all = host.returned + host.errored;
-                gets += all;
-                saw.asked += u32::from(all > 0);
-                let failed = host.errored * 2 > all;
-                saw.failed += u32::from(failed);
-                saw.late += u32::from(!failed && (host.errored + host.late) * 2 > all);
+                let total = host.returned + host.errored;
+                gets += total;
+                evidence.asked += u32::from(total > 0);
+                let has_failed = host.errored * 2 > total;
+                evidence.failed += u32::from(has_failed);
+                evidence.late += u32::from(!has_failed && (host.errored + host.late) * 2 > total);
             }
-            self.core.saw(node, at, &saw, gets, now);
-            let name = &self.core.zones[at].name;
-            if let Some(line) = held.and_then(|held| messages::held_verdict(held, name)) {
-                // What it was told some time ago has taken effect.
-                self.core.holds(node, at, Verdict { from: now, ..line.verdict() }, now);
+            self.fleet.saw(node, index, &evidence, gets, now);
+            let name = &self.fleet.zones[index].name;
+            if let Some(notice) = node_metadata.and_then(|metadata| messages::held_verdict(metadata, name)) {
+                // A verdict that a dispatcher reports as held has taken effect.
+                self.fleet.holds(node, index, Verdict { from: now, ..notice.verdict() }, now);
             }
         }
     }
 
-    /// Whether what is published changed.
+    /// Advances the decisions. Returns whether there is something new to publish.
     pub fn tick(&mut self, now: Duration) -> bool {
-        self.core.tick(now)
+        self.fleet.tick(now)
     }
 
-    /// What part of their keys hosts of each zone take, by the footprint's number.
+    /// The fraction of their keys that the hosts of each zone take, by zone index, for verdicts in effect.
     pub fn key_fractions(&self, now: Duration) -> impl Iterator<Item = (usize, f64)> {
-        let part = move |verdict: &Verdict| if now >= verdict.from { Some(verdict.part) } else { None };
-        let zones = self.numbers.iter().zip(&self.core.zones);
-        zones.filter_map(move |(&number, zone)| Some((number, part(&zone.verdict)?)))
+        let key_fraction =
+            move |verdict: &Verdict| if now >= verdict.from { Some(verdict.part) } else { None };
+        let zones = self.zone_indices.iter().zip(&self.fleet.zones);
+        zones.filter_map(move |(&zone_index, zone)| Some((zone_index, key_fraction(&zone.verdict)?)))
     }
 
-    /// Publishes each zone's verdict; nothing before it is known what followers hold.
+    /// Publishes the verdict on each zone. Nothing is published before it is known which verdicts the followers hold.
     pub fn publish(&self, server: &mut AdsServer, now: Duration, unix_ms: u64) {
-        if !self.core.is_ready() {
+        if !self.fleet.is_ready() {
             return;
         }
-        for zone in &self.core.zones {
-            let lead = zone.verdict.from.saturating_sub(now).as_millis() as u64;
-            let line = ZoneNotice::from_verdict(&zone.verdict, unix_ms + lead);
+        for zone in &self.fleet.zones {
+            let lead_ms = zone.verdict.from.saturating_sub(now).as_millis() as u64;
+            let notice = ZoneNotice::from_verdict(&zone.verdict, unix_ms + lead_ms);
             let name = messages::zone_resource_name(&zone.name);
-            // The time of day differs at each look: what it is of, is said once.
-            let said = format!("{:?}", zone.verdict);
-            let version = Version::new(zone.verdict.epoch, 0, said.as_bytes());
+            // `from_unix_ms` is computed on each call and may differ, so the version covers the verdict instead.
+            let version_text = format!("{:?}", zone.verdict);
+            let version = Version::new(zone.verdict.epoch, 0, version_text.as_bytes());
             if server.cache().get(ResourceType::Notice, &name).is_some_and(|known| known.version == version) {
                 continue;
             }
-            let resource = Resource { version, body: line.encode_notice(&name).into(), is_leased: false };
+            let resource = Resource { version, body: notice.encode_notice(&name).into(), is_leased: false };
             server.put(ResourceType::Notice, &name, Some(resource), true);
         }
     }
 
-    /// An operator's word.
+    /// Applies an order of an operator to a zone.
     ///
     /// # Errors
-    /// A zone or an order that is not known, with those that are.
-    pub fn order(&mut self, zone: &str, what: &str, now: Duration) -> Result<(), String> {
-        let at = self.core.zones.iter().position(|of| of.name == zone).ok_or_else(|| {
-            let names: Vec<_> = self.core.zones.iter().map(|of| of.name.as_str()).collect();
-            format!("zone {zone:?} is not known; zones are {}", names.join(", "))
+    /// The zone or the order is unknown. The error lists the known ones.
+    pub fn order(&mut self, zone: &str, order: &str, now: Duration) -> Result<(), String> {
+        let index = self.fleet.zones.iter().position(|known| known.name == zone).ok_or_else(|| {
+            let names: Vec<_> = self.fleet.zones.iter().map(|known| known.name.as_str()).collect();
+            format!("unknown zone {zone:?}; the zones are {}", names.join(", "))
         })?;
-        let order = match what {
+        let parsed_order = match order {
             "leave" => Order::Leave,
             "hold" => Order::Hold,
             "return" => Order::None,
-            _ => return Err(format!("order {what:?} is not known; orders are leave, hold, return")),
+            _ => return Err(format!("order {order:?} is unknown; the orders are leave, hold, return")),
         };
-        log::warn!(zone, order = what; "an operator's order");
-        self.core.order(at, order, now);
+        log::warn!(zone, order; "applying an order of an operator");
+        self.fleet.order(index, parsed_order, now);
         Ok(())
     }
 
-    /// A line for each zone, as the published answer has room for it: in a node's metadata.
+    /// The status of each zone. The values are stored in the metadata of a node.
     pub fn statuses(&self, now: Duration) -> Vec<ClientConfig> {
-        let zones = self.core.zones.iter().enumerate().map(|(at, zone)| {
-            let (tally, verdict) = (self.core.tally(at, now), zone.verdict);
+        let zones = self.fleet.zones.iter().enumerate().map(|(index, zone)| {
+            let (tally, verdict) = (self.fleet.tally(index, now), zone.verdict);
             let votes: Vec<_> = self
-                .core
-                .who(at, now)
-                .map(|(who, vote)| format!("{who} {}", format!("{vote:?}").to_lowercase()))
+                .fleet
+                .who(index, now)
+                .map(|(voter, vote)| format!("{voter} {}", format!("{vote:?}").to_lowercase()))
                 .collect();
-            let lower = |said: String| text(&said.to_lowercase());
-            let told = [
+            let lower = |debug_text: String| text(&debug_text.to_lowercase());
+            let fields = [
                 ("stage", lower(format!("{:?}", verdict.stage))),
                 ("why", lower(format!("{:?}", zone.why))),
                 ("order", lower(format!("{:?}", zone.order))),
@@ -153,11 +158,11 @@
                 ("well", number(f64::from(tally.well))),
                 ("ill", number(f64::from(tally.ill))),
                 ("dead", number(f64::from(tally.dead))),
-                ("members", number(self.core.members() as f64)),
-                ("sources_bad", number(self.core.sources_bad)),
+                ("members", number(self.fleet.members() as f64)),
+                ("sources_bad", number(self.fleet.sources_bad)),
                 ("votes", text(&votes.join(", "))),
             ];
-            let fields = told.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
+            let fields = fields.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
             let node = Node {
                 id: messages::zone_resource_name(&zone.name),
                 metadata: Some(Struct { fields }),
