--- a/crates/control/src/ads_server.rs
+++ b/crates/control/src/ads_server.rs
@@ -52,6 +52,7 @@
     Ordinary,
 }
 
+/// All priorities, highest first.
 pub const PRIORITIES: [Priority; 3] = [Priority::Urgent, Priority::Heartbeat, Priority::Ordinary];
 
 /// A discovery request of either protocol variant.
@@ -258,6 +259,7 @@
 }
 
 impl AdsServer {
+    /// Creates a server without resources or streams.
     pub fn new(lease: Lease, max_streams: usize) -> Self {
         Self {
             cache: ResourceCache::default(),
@@ -271,6 +273,7 @@
         }
     }
 
+    /// The published resources.
     pub fn cache(&self) -> &ResourceCache {
         &self.cache
     }
@@ -325,6 +328,7 @@
         Ok(id)
     }
 
+    /// Forgets a stream that has ended.
     pub fn close_stream(&mut self, id: StreamId) {
         self.streams.try_remove(id);
         self.admission_queue.retain(|&waiting| waiting != id);
@@ -470,6 +474,7 @@
         Some(message)
     }
 
+    /// Status of all streams.
     pub fn stream_statuses(&self, now: Duration) -> impl Iterator<Item = StreamStatus<'_>> {
         self.stream_statuses_from(0, now)
     }
@@ -502,7 +507,10 @@
                 counters: stream.counters,
                 sent_versions: subscriptions()
                     .flat_map(|(&resource_type, subscription)| {
-                        subscription.sent_versions.iter().map(move |(name, &v)| (resource_type, &**name, v))
+                        subscription
+                            .sent_versions
+                            .iter()
+                            .map(move |(name, &version)| (resource_type, &**name, version))
                     })
                     .collect(),
                 nacked: subscriptions()
@@ -584,7 +592,8 @@
     let new: Vec<_> = cache.all(resource_type).filter(|(name, _)| subscription.is_subscribed(name)).collect();
     if is_first
         && !request.accepted_version.is_empty()
-        && request.accepted_version == versions_hash(new.iter().map(|(name, r)| (*name, &r.version)))
+        && request.accepted_version
+            == versions_hash(new.iter().map(|(name, resource)| (*name, &resource.version)))
     {
         // The proxy has all of this from an earlier stream.
         subscription.sent_versions =
@@ -633,7 +642,10 @@
             cache.entry(resource_type, name).map_or_else(|| Rc::from(&**name), |(known, _)| Rc::clone(known));
         // A resource requested by name is sent again even if it was sent before. If it does not exist, that is sent too.
         subscription.sent_versions.remove(&name);
-        subscription.enqueue(&name, cache.get(resource_type, &name).is_some_and(|r| r.version.revision > 0));
+        subscription.enqueue(
+            &name,
+            cache.get(resource_type, &name).is_some_and(|resource| resource.version.revision > 0),
+        );
         subscription.names.insert(name);
     }
     if starts_wildcard {
@@ -740,7 +752,7 @@
         if subscription
             .newer_at_client
             .get(&name)
-            .is_some_and(|(newer, _)| resource.is_none_or(|r| newer.is_newer_than(&r.version)))
+            .is_some_and(|(newer, _)| resource.is_none_or(|resource| newer.is_newer_than(&resource.version)))
         {
             // The proxy has a newer version. It is not reverted while this instance may still receive that version.
             handled.insert(name);
@@ -848,11 +860,13 @@
         return None;
     }
     let subscription = &stream.subscriptions[ResourceType::Assignment as usize];
-    let renewed = subscription.sent_versions.iter().filter_map(|(name, held)| {
-        let leased = cache.get(ResourceType::Assignment, name).filter(|r| r.is_leased && r.version == *held);
-        leased.map(|r| SentResource {
+    let renewed = subscription.sent_versions.iter().filter_map(|(name, sent_version)| {
+        let leased = cache
+            .get(ResourceType::Assignment, name)
+            .filter(|resource| resource.is_leased && resource.version == *sent_version);
+        leased.map(|resource| SentResource {
             name: Rc::clone(name),
-            version: r.version,
+            version: resource.version,
             body: None,
             ttl: Some(lease.ttl),
         })
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -105,6 +105,7 @@
 }
 
 impl Fleet {
+    /// Creates a fleet without hosts.
     pub fn new(settings: &Settings, seed: u64, clock: Clock) -> Result<Self, String> {
         let services = list(settings, "classes")?.iter().enumerate().map(|(ds, class)| {
             let name =
@@ -144,14 +145,17 @@
         })
     }
 
+    /// The clock that all times passed in come from.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
+    /// The names of the delivery services, by index.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.services.iter().map(|service| service.name.as_str())
     }
 
+    /// The name of a host.
     pub fn host_name(&self, index: HostIndex) -> &str {
         &self.hosts[index].name
     }
@@ -166,6 +170,7 @@
         self.hosts.iter().filter(|host| host.removed_at.is_none()).count()
     }
 
+    /// Whether all hosts are removed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -180,6 +185,7 @@
         self.registry.index_of(name).filter(|&host| self.hosts[host].removed_at.is_none())
     }
 
+    /// The index of the delivery service of this name.
     pub fn service_index(&self, name: &str) -> Option<usize> {
         self.services.iter().position(|service| service.name == name)
     }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -77,8 +77,8 @@
 }
 
 /// The subscriptions of a follower, in order.
-pub fn subscriptions(form: ProtocolVariant) -> Vec<(ResourceType, Vec<&'static str>)> {
-    match form {
+pub fn subscriptions(variant: ProtocolVariant) -> Vec<(ResourceType, Vec<&'static str>)> {
+    match variant {
         ProtocolVariant::Delta => vec![
             (ResourceType::Notice, vec!["*"]),
             (ResourceType::Cluster, vec!["*"]),
@@ -190,26 +190,31 @@
 
     /// Extends the lease by the time to live of an assignment. The message was written and received at the given times.
     pub fn extend_lease(&mut self, ttl: Duration, written_ms: u64, received_ms: u64) {
-        let until = written_ms.min(received_ms) + ttl.as_millis() as u64;
-        self.lease_until_ms = self.lease_until_ms.max(until);
+        let lease_until_ms = written_ms.min(received_ms) + ttl.as_millis() as u64;
+        self.lease_until_ms = self.lease_until_ms.max(lease_until_ms);
     }
 
+    /// The remaining time of the lease, in milliseconds.
     pub fn lease_left_ms(&self, now_ms: u64) -> u64 {
         self.lease_until_ms.saturating_sub(now_ms)
     }
 
+    /// The known host of this name.
     pub fn host(&self, host: &str) -> Option<&HostLine> {
         self.hosts.values().map(|known| &known.line).find(|line| line.name == host)
     }
 
+    /// The number of known hosts.
     pub fn host_count(&self) -> usize {
         self.hosts.len()
     }
 
+    /// The purge in effect for a key.
     pub fn purge(&self, key: PurgeKey) -> Option<PurgeLine> {
         self.purges.get(&key).copied()
     }
 
+    /// Rebuilds the routing table if hosts have changed.
     fn rebuild_routing_table(&mut self) {
         if !std::mem::take(&mut self.is_stale) {
             return;
--- a/crates/control/src/grpc.rs
+++ b/crates/control/src/grpc.rs
@@ -74,6 +74,7 @@
 }
 
 impl ResponseSender {
+    /// The protocol variant of the stream.
     pub fn variant(&self) -> ProtocolVariant {
         match self {
             ResponseSender::Whole(_) => ProtocolVariant::Whole,
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Ends the stream with a status.
     pub fn end(&self, status: Status) {
         match self {
             ResponseSender::Whole(sender) => drop(sender.try_send(Err(status))),
--- a/crates/control/src/load_reports.rs
+++ b/crates/control/src/load_reports.rs
@@ -93,10 +93,12 @@
 }
 
 impl LoadReports {
+    /// Starts the first interval.
     pub fn new(interval: Duration, now: Duration) -> Self {
         Self { interval, interval_end: now + interval, ..Self::default() }
     }
 
+    /// The length of an interval.
     pub fn interval(&self) -> Duration {
         self.interval
     }
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -17,6 +17,7 @@
 const STRUCT_TYPE_URL: &str = "type.googleapis.com/google.protobuf.Struct";
 /// Name of the cluster and assignment whose hosts are resources of their own.
 pub const BY_HOST_CLUSTER: &str = "caches-by-host";
+/// Name of the route table.
 pub const ROUTE_TABLE: &str = "gets";
 
 /// The role of a host for this location.
@@ -27,9 +28,11 @@
     Origin,
 }
 
+/// All tiers, in the order of their indices.
 pub const TIERS: [Tier; 3] = [Tier::Caches, Tier::Parents, Tier::Origin];
 
 impl Tier {
+    /// The published name of the tier.
     pub fn name(self) -> &'static str {
         match self {
             Tier::Caches => "caches",
@@ -38,6 +41,7 @@
         }
     }
 
+    /// The tier of a published name.
     pub fn from_name(name: &str) -> Option<Self> {
         TIERS.into_iter().find(|tier| tier.name() == name)
     }
@@ -124,14 +128,17 @@
     }
 }
 
+/// Encodes a duration.
 pub fn encode_duration(duration: Duration) -> ProtoDuration {
     ProtoDuration { seconds: duration.as_secs() as i64, nanos: duration.subsec_nanos() as i32 }
 }
 
+/// Encodes a resource body with its type.
 pub fn encode_any(resource_type: ResourceType, body: &[u8]) -> Any {
     Any { type_url: resource_type.type_url().into(), value: body.to_vec() }
 }
 
+/// Encodes a socket address.
 pub fn encode_address(address: SocketAddr) -> core::Address {
     let socket = core::SocketAddress {
         address: address.ip().to_string(),
@@ -141,6 +148,7 @@
     core::Address { address: Some(core::address::Address::SocketAddress(socket)) }
 }
 
+/// Decodes a socket address. None if it has no IP address or port.
 pub fn parse_address(address: &core::Address) -> Option<SocketAddr> {
     let core::address::Address::SocketAddress(socket) = address.address.as_ref()? else { return None };
     let core::socket_address::PortSpecifier::PortValue(port) = socket.port_specifier.as_ref()? else {
@@ -150,6 +158,7 @@
 }
 
 impl HostLine {
+    /// The name of the host resource.
     pub fn resource_name(&self) -> String {
         format!("{}/{}", self.tier.name(), self.name)
     }
@@ -159,6 +168,7 @@
         format!("{self:?}")
     }
 
+    /// Encodes the host as an endpoint.
     pub fn to_endpoint(&self) -> endpoint::LbEndpoint {
         let health = match (self.draining, self.part > 0.0) {
             (true, _) => core::HealthStatus::Draining,
@@ -239,11 +249,13 @@
 }
 
 impl PurgeLine {
+    /// Encodes it as a notice resource with the given name.
     pub fn encode_notice(&self, name: &str) -> Vec<u8> {
         let at = ("at_unix_ms", number_value(self.at_unix_ms as f64));
         notice(name, fields([at, ("until_unix_ms", number_value(self.until_unix_ms as f64))]))
     }
 
+    /// Decodes the fields of a notice. Fails with what is missing or invalid.
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let number = |name: &str| number_field(fields, name).ok_or("purge notice lacks a time");
         Ok(Self { at_unix_ms: number("at_unix_ms")? as u64, until_unix_ms: number("until_unix_ms")? as u64 })
@@ -268,20 +280,24 @@
     (Stage::Returning, "returning"),
 ];
 
+/// The resource name of the verdict on a zone.
 pub fn zone_resource_name(zone: &str) -> String {
     format!("zone/{zone}")
 }
 
+/// The inverse of [`zone_resource_name`]. None for other resource names.
 pub fn parse_zone_resource_name(name: &str) -> Option<&str> {
     name.strip_prefix("zone/")
 }
 
 impl ZoneNotice {
+    /// A notice of a verdict that takes effect at the given time.
     pub fn from_verdict(verdict: &Verdict, from_unix_ms: u64) -> Self {
         let Verdict { epoch, stage, part, sheds, .. } = *verdict;
         Self { epoch, stage, part, sheds, from_unix_ms }
     }
 
+    /// The verdict, without the values that are not published.
     pub fn verdict(&self) -> Verdict {
         let Self { epoch, stage, part, sheds, .. } = *self;
         Verdict { epoch, stage, part, sheds, ..Verdict::default() }
@@ -298,10 +314,12 @@
         ])
     }
 
+    /// Encodes it as a notice resource with the given name.
     pub fn encode_notice(&self, name: &str) -> Vec<u8> {
         notice(name, self.fields())
     }
 
+    /// Decodes the fields of a notice. Fails with what is missing or invalid.
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let number = |name: &str| number_field(fields, name).ok_or("zone verdict lacks a required number");
         let stage = text_field(fields, "stage").ok_or("zone verdict lacks its stage")?;
@@ -333,11 +351,14 @@
 }
 
 /// Node metadata with the zone verdicts that a dispatcher holds and the number of GETs that it took.
-pub fn held_verdicts_metadata<'a>(held: impl Iterator<Item = (&'a str, ZoneNotice)>, taken: u64) -> Struct {
-    let fields = held.map(|(zone, line)| {
-        (zone_resource_name(zone), Value { kind: Some(ProtoValue::StructValue(line.fields())) })
+pub fn held_verdicts_metadata<'a>(
+    verdicts: impl Iterator<Item = (&'a str, ZoneNotice)>,
+    gets_taken: u64,
+) -> Struct {
+    let fields = verdicts.map(|(zone, notice)| {
+        (zone_resource_name(zone), Value { kind: Some(ProtoValue::StructValue(notice.fields())) })
     });
-    Struct { fields: fields.chain([("taken".to_owned(), number_value(taken as f64))]).collect() }
+    Struct { fields: fields.chain([("taken".to_owned(), number_value(gets_taken as f64))]).collect() }
 }
 
 /// The verdict on a zone that a dispatcher holds, from the metadata of its node.
@@ -349,6 +370,7 @@
 }
 
 impl TermsLine {
+    /// Encodes it as a notice resource with the given name.
     pub fn encode_notice(&self, name: &str) -> Vec<u8> {
         notice(
             name,
@@ -364,6 +386,7 @@
         )
     }
 
+    /// Decodes the fields of a notice. Fails with what is missing or invalid.
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let duration = |name: &str| {
             let ms = number_field(fields, name).ok_or("service terms lack a duration")?;
--- a/crates/control/src/resource_cache.rs
+++ b/crates/control/src/resource_cache.rs
@@ -17,6 +17,7 @@
     Route,
 }
 
+/// All resource types, in the order in which they must be received.
 pub const RESOURCE_TYPES: [ResourceType; 5] = [
     ResourceType::Notice,
     ResourceType::Cluster,
@@ -26,6 +27,7 @@
 ];
 
 impl ResourceType {
+    /// The xDS type URL.
     pub fn type_url(self) -> &'static str {
         match self {
             ResourceType::Notice => "type.googleapis.com/envoy.config.core.v3.TypedExtensionConfig",
@@ -36,6 +38,7 @@
         }
     }
 
+    /// The resource type of a type URL. None for other types.
     pub fn from_type_url(url: &str) -> Option<Self> {
         RESOURCE_TYPES.into_iter().find(|resource_type| resource_type.type_url() == url)
     }
@@ -58,6 +61,7 @@
 }
 
 impl Version {
+    /// Creates a version for the given content.
     pub fn new(incarnation: u64, revision: u64, body: &[u8]) -> Self {
         Self { incarnation, revision, content_hash: twox_hash::XxHash64::oneshot(0, body) }
     }
@@ -105,6 +109,7 @@
 }
 
 impl ResourceCache {
+    /// Returns a resource.
     pub fn get(&self, resource_type: ResourceType, name: &str) -> Option<&Resource> {
         self.by_type[resource_type as usize].get(name)
     }
@@ -114,6 +119,7 @@
         self.by_type[resource_type as usize].get_key_value(name)
     }
 
+    /// All resources of a type, sorted by name.
     pub fn all(&self, resource_type: ResourceType) -> impl Iterator<Item = (&Rc<str>, &Resource)> {
         self.by_type[resource_type as usize].iter()
     }
--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -87,6 +87,7 @@
 }
 
 impl Session {
+    /// Creates a session without received state. `node` is the node name sent to the control service.
     pub fn new(variant: ProtocolVariant, node: &str) -> Self {
         Self {
             follower: Follower::default(),
@@ -97,6 +98,7 @@
         }
     }
 
+    /// The protocol variant of the streams.
     pub fn variant(&self) -> ProtocolVariant {
         self.variant
     }
