--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -90,7 +90,14 @@
     signal("-HUP", service.0.id());
     assert_eq!(until("operator file not reloaded")["level"], "ERROR");
     signal("-USR1", service.0.id());
-    assert_eq!(until("change log")["hosts"], 5);
+    // The keys of the counters are read by operators' tools.
+    assert_eq!(until("streams")["turned_away"], 0);
+    assert_eq!(until("messages")["beats"], 0);
+    let change_log = until("change log");
+    assert_eq!((&change_log["hosts"], &change_log["polls_lost"]), (&5.into(), &0.into()));
+    assert_eq!(change_log["logs_anew"], 0);
+    assert_eq!(until("reports")["disbelieved"], 0);
+    assert!(until("loop")["turn_longest_us"].is_u64());
     signal("-TERM", service.0.id());
     let end = Instant::now() + Duration::from_secs(5);
     while service.0.try_wait().unwrap().is_none() {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet, an server and followers, without sockets.
+//! A fleet, an ADS server and followers, connected without sockets.
 #![allow(dead_code)]
 
 use myrtlegauge_control::ads_server::{
@@ -23,13 +23,14 @@
     Lease::from_grace_periods(ms(250), ms(1000), ms(10))
 }
 
-pub struct World {
+/// The state of a control service with a time that tests advance.
+pub struct TestControlPlane {
     pub fleet: Fleet,
     pub server: AdsServer,
     pub now: Duration,
 }
 
-pub fn line(name: &str, status: &'static str, since_unix_ms: u64) -> Endpoint<'static> {
+pub fn host_entry(name: &str, status: &'static str, since_unix_ms: u64) -> Endpoint<'static> {
     let (kind, zone) = match name.split('-').next() {
         Some("cache") => ("standard", "edge"),
         Some("parent") => ("parent", "hub"),
@@ -48,26 +49,28 @@
     }
 }
 
-impl World {
+impl TestControlPlane {
     pub fn new(caches: usize, parents: usize) -> Self {
-        Self::leasing(caches, parents, lease())
+        Self::with_lease(caches, parents, lease())
     }
 
-    pub fn leasing(caches: usize, parents: usize, lease: Lease) -> Self {
-        // A cold host's budget in work is this router's alone; a follower has its part of the keys.
+    pub fn with_lease(caches: usize, parents: usize, lease: Lease) -> Self {
+        // The slow-start budget in work applies to this router alone; a follower only knows the key fraction of a cold host.
         let text = EXAMPLE.replace("(falls-at 2))", "(falls-at 2) (falls-in 1h))");
-        let file = myrtlegauge_operator::read(&text).expect("the example has no fault");
+        let file = myrtlegauge_operator::read(&text).expect("the example file is valid");
         let clock = Clock::start();
         let now = clock.now();
         let fleet = Fleet::new(&file.facts, 7, clock).unwrap();
-        let mut world = Self { fleet, server: AdsServer::new(lease, 64), now };
-        let mut lines: Vec<_> = (0..caches).map(|n| line(&format!("cache-{n}"), "active", 0)).collect();
-        lines.extend((0..parents).map(|n| line(&format!("parent-{}", 1000 + n), "active", 0)));
-        lines.push(line("origin-2000", "active", 0));
-        world.fleet.on_host_list(&lines, true, now);
-        world.server.set_ready();
-        world.publish();
-        world
+        let mut control = Self { fleet, server: AdsServer::new(lease, 64), now };
+        let mut entries: Vec<_> =
+            (0..caches).map(|index| host_entry(&format!("cache-{index}"), "active", 0)).collect();
+        entries
+            .extend((0..parents).map(|index| host_entry(&format!("parent-{}", 1000 + index), "active", 0)));
+        entries.push(host_entry("origin-2000", "active", 0));
+        control.fleet.on_host_list(&entries, true, now);
+        control.server.set_ready();
+        control.publish();
+        control
     }
 
     pub fn unix_ms(&self) -> u64 {
@@ -79,8 +82,8 @@
         self.fleet.publish(&mut self.server, 1, self.now, unix_ms);
     }
 
-    pub fn told(&mut self, name: &str, status: &'static str, since_unix_ms: u64) {
-        self.fleet.on_host_list(&[line(name, status, since_unix_ms)], false, self.now);
+    pub fn list_host(&mut self, name: &str, status: &'static str, since_unix_ms: u64) {
+        self.fleet.on_host_list(&[host_entry(name, status, since_unix_ms)], false, self.now);
         self.publish();
     }
 
@@ -89,110 +92,119 @@
         self.publish();
     }
 
-    pub fn pass(&mut self, by: Duration) {
+    pub fn advance_time(&mut self, by: Duration) {
         self.now += by;
         self.fleet.on_timer(self.now);
         self.publish();
         self.server.advance(self.now);
     }
 
-    /// The next message to a stream, of the most pressing lane that has one.
+    /// The next message to a stream, of the highest priority that has one.
     pub fn next(&mut self, id: StreamId) -> Option<Message> {
         let unix_ms = self.unix_ms();
-        PRIORITIES.into_iter().find_map(|lane| self.server.next_message(id, lane, self.now, unix_ms))
+        PRIORITIES.into_iter().find_map(|priority| self.server.next_message(id, priority, self.now, unix_ms))
     }
 }
 
 /// A proxy on one stream.
 pub struct Proxy {
-    pub form: ProtocolVariant,
+    pub variant: ProtocolVariant,
     pub stream: StreamId,
     pub follower: Follower,
-    /// What it would tell on a new stream: names and versions that it holds, and of the whole types the last version.
-    pub holds: std::collections::BTreeMap<(ResourceType, String), String>,
-    pub last: std::collections::BTreeMap<ResourceType, String>,
-    /// What it refuses, by name.
-    pub refuses: Option<String>,
-    pub got: Vec<(Priority, ResourceType, usize)>,
+    /// Sent on a new delta stream: the names and versions that it holds.
+    pub held_versions: std::collections::BTreeMap<(ResourceType, String), String>,
+    /// Sent on a new state-of-the-world stream: the last version of each type.
+    pub last_versions: std::collections::BTreeMap<ResourceType, String>,
+    /// The name of the resource that it rejects.
+    pub rejected_name: Option<String>,
+    pub received: Vec<(Priority, ResourceType, usize)>,
 }
 
 impl Proxy {
-    pub fn join(world: &mut World, form: ProtocolVariant) -> Self {
+    pub fn connect(control: &mut TestControlPlane, variant: ProtocolVariant) -> Self {
         let mut proxy = Self {
-            form,
+            variant,
             stream: 0,
             follower: Follower::default(),
-            holds: Default::default(),
-            last: Default::default(),
-            refuses: None,
-            got: Vec::new(),
+            held_versions: Default::default(),
+            last_versions: Default::default(),
+            rejected_name: None,
+            received: Vec::new(),
         };
-        proxy.open(world);
+        proxy.open(control);
         proxy
     }
 
-    pub fn open(&mut self, world: &mut World) {
-        self.stream = world.server.open_stream(self.form, "test", world.now).unwrap();
-        world.server.advance(world.now);
-        for (resource_type, names) in subscriptions(self.form) {
+    pub fn open(&mut self, control: &mut TestControlPlane) {
+        self.stream = control.server.open_stream(self.variant, "test", control.now).unwrap();
+        control.server.advance(control.now);
+        for (resource_type, names) in subscriptions(self.variant) {
             let mut request = Request { type_url: resource_type.type_url().into(), ..Request::default() };
             request.resource_names = names.iter().map(|name| (*name).to_owned()).collect();
-            match self.form {
+            match self.variant {
                 ProtocolVariant::Whole => {
-                    request.accepted_version = self.last.get(&resource_type).cloned().unwrap_or_default()
+                    request.accepted_version =
+                        self.last_versions.get(&resource_type).cloned().unwrap_or_default()
                 }
                 ProtocolVariant::Delta => {
-                    let held = self.holds.iter().filter(|((of, _), _)| *of == resource_type);
+                    let held =
+                        self.held_versions.iter().filter(|((held_type, _), _)| *held_type == resource_type);
                     request.held_versions =
                         held.map(|((_, name), version)| (name.clone(), version.clone())).collect();
                 }
             }
-            world.server.on_request(self.stream, &request, world.now).unwrap();
+            control.server.on_request(self.stream, &request, control.now).unwrap();
         }
     }
 
-    pub fn reopen(&mut self, world: &mut World) {
-        world.server.close_stream(self.stream);
-        self.open(world);
+    pub fn reopen(&mut self, control: &mut TestControlPlane) {
+        control.server.close_stream(self.stream);
+        self.open(control);
     }
 
-    /// Takes a message; the answer that it gives.
-    pub fn take(&mut self, message: &Message, now_ms: u64) -> Request {
+    /// Handles a message and returns the response to it.
+    pub fn handle(&mut self, message: &Message, now_ms: u64) -> Request {
         let mut error = None;
-        self.got.push((
+        self.received.push((
             message.priority,
             message.resource_type,
             message.resources.len() + message.removed.len(),
         ));
-        let refused = |name: &str| self.refuses.as_deref() == Some(name);
-        if message.resources.iter().any(|sent| sent.body.is_some() && refused(&sent.name)) {
-            error = Some("not to be had".to_owned());
+        let is_rejected = |name: &str| self.rejected_name.as_deref() == Some(name);
+        if message.resources.iter().any(|resource| resource.body.is_some() && is_rejected(&resource.name)) {
+            error = Some("rejected by the test".to_owned());
         }
         if error.is_none() {
-            for sent in &message.resources {
-                if let Some(body) = &sent.body {
-                    if let Err(why) = self.follower.apply(message.resource_type, &sent.name, body, now_ms) {
-                        error = Some(why.to_owned());
+            for resource in &message.resources {
+                if let Some(body) = &resource.body {
+                    if let Err(reason) =
+                        self.follower.apply(message.resource_type, &resource.name, body, now_ms)
+                    {
+                        error = Some(reason.to_owned());
                         break;
                     }
-                    self.holds
-                        .insert((message.resource_type, sent.name.to_string()), sent.version.to_string());
+                    self.held_versions.insert(
+                        (message.resource_type, resource.name.to_string()),
+                        resource.version.to_string(),
+                    );
                 }
-                if let Some(ttl) = sent.ttl {
+                if let Some(ttl) = resource.ttl {
                     self.follower.extend_lease(ttl, nonce_unix_ms(&message.nonce).unwrap(), now_ms);
                 }
             }
             for name in &message.removed {
                 self.follower.remove(message.resource_type, name, now_ms);
-                self.holds.remove(&(message.resource_type, name.to_string()));
+                self.held_versions.remove(&(message.resource_type, name.to_string()));
             }
-            self.last.insert(message.resource_type, message.version.clone());
+            self.last_versions.insert(message.resource_type, message.version.clone());
         }
-        let names = if self.form == ProtocolVariant::Whole {
-            let asked = subscriptions(self.form)
+        let names = if self.variant == ProtocolVariant::Whole {
+            let subscription = subscriptions(self.variant)
                 .into_iter()
                 .find(|(resource_type, _)| *resource_type == message.resource_type);
-            asked.map(|(_, names)| names.iter().map(|name| (*name).to_owned()).collect()).unwrap_or_default()
+            subscription
+                .map(|(_, names)| names.iter().map(|name| (*name).to_owned()).collect())
+                .unwrap_or_default()
         } else {
             Vec::new()
         };
@@ -206,29 +218,30 @@
         }
     }
 
-    /// Takes all there is and answers it.
-    pub fn drain(&mut self, world: &mut World) -> usize {
+    /// Handles and acknowledges every pending message. Returns their number.
+    pub fn handle_all(&mut self, control: &mut TestControlPlane) -> usize {
         let mut count = 0;
-        while let Some(message) = world.next(self.stream) {
-            let answer = self.take(&message, world.unix_ms());
-            world.server.on_request(self.stream, &answer, world.now).unwrap();
+        while let Some(message) = control.next(self.stream) {
+            let answer = self.handle(&message, control.unix_ms());
+            control.server.on_request(self.stream, &answer, control.now).unwrap();
             count += 1;
-            assert!(count < 10_000, "a stream without an end");
+            assert!(count < 10_000, "the stream does not become idle");
         }
         count
     }
 
-    /// Its choice of cache and source for a key.
+    /// Its choice for a key: cache, source, whether the source only answers from its cache, and the accepted age.
     pub fn choice(
         &mut self,
         object: u64,
         now_ms: u64,
     ) -> Result<(String, Option<String>, bool, Duration), String> {
-        let asked = GetKey { service: "product-photo", object, chunk: 0, group: object % 256 };
-        let chosen = self.follower.choose(&asked, [None, None], |_| 0, now_ms);
-        let told = chosen.map(|c| {
-            (c.cache.name.clone(), c.source.map(|s| s.name.clone()), c.only_if_cached, c.max_accepted_age)
+        let get = GetKey { service: "product-photo", object, chunk: 0, group: object % 256 };
+        let chosen = self.follower.choose(&get, [None, None], |_| 0, now_ms);
+        let choice = chosen.map(|choice| {
+            let source = choice.source.map(|source| source.name.clone());
+            (choice.cache.name.clone(), source, choice.only_if_cached, choice.max_accepted_age)
         });
-        told.map_err(|why| format!("{why:?}"))
+        choice.map_err(|reason| format!("{reason:?}"))
     }
 }
--- a/crates/control/tests/decisions.rs
+++ b/crates/control/tests/decisions.rs
@@ -1,27 +1,28 @@
-//! A follower decides as the module does, before, during and after changes.
+//! A follower makes the same choices as the decision module, before, during and after changes of the hosts.
 
 mod common;
 
-use common::{Proxy, World, line, ms};
+use common::{Proxy, TestControlPlane, host_entry, ms};
 use myrtlegauge::decide::Router;
 use myrtlegauge::interface::*;
 use myrtlegauge_control::ads_server::ProtocolVariant;
 use myrtlegauge_control::load_reports::Summary;
+use myrtlegauge_control::messages::{HostLine, PurgeLine, TermsLine, Tier};
 use myrtlegauge_wire::protocol::changelog::Endpoint;
 use std::time::Duration;
 
 const KEYS: u64 = 3000;
 
-/// The module itself, told the same, whose GETs are called off as soon as they are decided.
-struct Twin {
+/// The decision module itself with the same host list. Its GETs are abandoned as soon as they are decided.
+struct ReferenceRouter {
     router: Router,
     now: Duration,
 }
 
 #[derive(Default)]
-struct First(Option<Forward>);
+struct FirstForward(Option<Forward>);
 
-impl DecisionSink for First {
+impl DecisionSink for FirstForward {
     fn forward(&mut self, _: GetIndex, forward: &Forward) {
         self.0.get_or_insert(*forward);
     }
@@ -34,24 +35,25 @@
     fn log(&mut self, _: std::fmt::Arguments<'_>) {}
 }
 
-impl Twin {
-    fn of(world: &World) -> Self {
+impl ReferenceRouter {
+    fn new(control: &TestControlPlane) -> Self {
         let text = common::EXAMPLE.replace("(falls-at 2))", "(falls-at 2) (falls-in 1h))");
-        let facts = myrtlegauge_operator::read(&text).unwrap().facts;
-        let mut twin = Self { router: Router::new(&facts, 1).unwrap(), now: world.now };
-        twin.follow(world);
-        twin
+        let settings = myrtlegauge_operator::read(&text).unwrap().facts;
+        let mut reference = Self { router: Router::new(&settings, 1).unwrap(), now: control.now };
+        reference.update(control);
+        reference
     }
 
-    fn follow(&mut self, world: &World) {
-        self.now = world.now;
-        let entries: Vec<_> = world.fleet.entries().copied().collect();
-        self.router
-            .round(self.now, &mut First::default(), |round| round.on_host_list(ListUpdate::Full, &entries));
+    fn update(&mut self, control: &TestControlPlane) {
+        self.now = control.now;
+        let entries: Vec<_> = control.fleet.entries().copied().collect();
+        self.router.round(self.now, &mut FirstForward::default(), |round| {
+            round.on_host_list(ListUpdate::Full, &entries)
+        });
     }
 
     fn choice(&mut self, object: u64) -> Option<Forward> {
-        let mut first = First::default();
+        let mut sink = FirstForward::default();
         let get = Get { ds: 1, object, group: object % 256, viewer_timeout: ms(5000), ..Get::default() };
         let withdrawn = Outcome {
             attempt: 0,
@@ -62,32 +64,45 @@
             source_wait: ms(0),
             load: LoadReport::default(),
         };
-        self.router.round(self.now, &mut first, |round| {
-            let place = round.next_get_index();
+        self.router.round(self.now, &mut sink, |round| {
+            let index = round.next_get_index();
             round.on_get(get);
-            round.on_abandoned(place);
-            round.on_outcome(place, &withdrawn);
+            round.on_abandoned(index);
+            round.on_outcome(index, &withdrawn);
         });
-        first.0
+        sink.0
     }
 }
 
-/// Both choose alike for all keys; how many keys each cache has.
-fn agree(world: &mut World, twin: &mut Twin, proxies: &mut [Proxy]) -> String {
+/// Checks that the reference and the proxies choose alike for every key. Returns the number of keys of each cache.
+fn assert_same_choices(
+    control: &mut TestControlPlane,
+    reference: &mut ReferenceRouter,
+    proxies: &mut [Proxy],
+) -> String {
     for proxy in &mut *proxies {
-        proxy.drain(world);
+        proxy.handle_all(control);
     }
-    twin.follow(world);
+    reference.update(control);
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
     for object in 0..KEYS {
-        let by_module = twin.choice(object).expect("the module sends it");
-        let name = |host| world.fleet.host_name(host).to_owned();
-        let expected = (name(by_module.host), Some(name(by_module.source)), by_module.only_if_cached);
+        let forward = reference.choice(object).expect("the module forwards it");
+        let name = |host| control.fleet.host_name(host).to_owned();
+        let expected = (name(forward.host), Some(name(forward.source)), forward.only_if_cached);
         for proxy in &mut *proxies {
-            let (cache, source, held, oldest) = proxy.choice(object, world.unix_ms()).expect("it goes");
-            assert_eq!((&cache, &source, held), (&expected.0, &expected.1, expected.2), "object {object}");
-            let apart = oldest.abs_diff(by_module.accepted_age);
-            assert!(apart <= ms(2), "object {object}: {oldest:?}, the module {:?}", by_module.accepted_age);
+            let (cache, source, only_if_cached, accepted_age) =
+                proxy.choice(object, control.unix_ms()).expect("the follower forwards it");
+            assert_eq!(
+                (&cache, &source, only_if_cached),
+                (&expected.0, &expected.1, expected.2),
+                "object {object}"
+            );
+            let difference = accepted_age.abs_diff(forward.accepted_age);
+            assert!(
+                difference <= ms(2),
+                "object {object}: {accepted_age:?}, the module {:?}",
+                forward.accepted_age
+            );
         }
         *counts.entry(expected.0).or_default() += 1;
     }
@@ -95,175 +110,216 @@
 }
 
 #[test]
-fn a_follower_chooses_as_the_module_does_before_during_and_after_changes() {
-    let mut world = World::new(5, 3);
-    let mut twin = Twin::of(&world);
-    let mut proxies =
-        [Proxy::join(&mut world, ProtocolVariant::Delta), Proxy::join(&mut world, ProtocolVariant::Whole)];
-    let mut told = String::new();
-    let mut step = |what: &str, world: &mut World, twin: &mut Twin| {
-        told += &format!("{what}: {}\n", agree(world, twin, &mut proxies));
+fn a_follower_chooses_the_same_hosts_as_the_decision_module_during_changes() {
+    let mut control = TestControlPlane::new(5, 3);
+    let mut reference = ReferenceRouter::new(&control);
+    let mut proxies = [
+        Proxy::connect(&mut control, ProtocolVariant::Delta),
+        Proxy::connect(&mut control, ProtocolVariant::Whole),
+    ];
+    let mut key_counts = String::new();
+    let mut step = |label: &str, control: &mut TestControlPlane, reference: &mut ReferenceRouter| {
+        key_counts += &format!("{label}: {}\n", assert_same_choices(control, reference, &mut proxies));
     };
-    step("all warm", &mut world, &mut twin);
-    world.told("cache-1", "leaving", 0);
-    step("cache-1 drains", &mut world, &mut twin);
-    world.told("cache-1", "left", 0);
-    step("cache-1 is gone", &mut world, &mut twin);
-    world.pass(ms(9000));
-    let started = world.unix_ms();
-    world.told("cache-1", "active", started);
-    step("cache-1 is back, cold", &mut world, &mut twin);
-    world.pass(ms(6000));
-    step("and warmer", &mut world, &mut twin);
-    world.pass(ms(12_000));
-    step("and warm", &mut world, &mut twin);
-    world.told("parent-1001", "leaving", 0);
-    step("a parent drains", &mut world, &mut twin);
-    // Three of four intervals in which most proxies' GETs at a cache failed.
+    step("all warm", &mut control, &mut reference);
+    control.list_host("cache-1", "leaving", 0);
+    step("cache-1 drains", &mut control, &mut reference);
+    control.list_host("cache-1", "left", 0);
+    step("cache-1 is gone", &mut control, &mut reference);
+    control.advance_time(ms(9000));
+    let started = control.unix_ms();
+    control.list_host("cache-1", "active", started);
+    step("cache-1 is back, cold", &mut control, &mut reference);
+    control.advance_time(ms(6000));
+    step("and warmer", &mut control, &mut reference);
+    control.advance_time(ms(12_000));
+    step("and warm", &mut control, &mut reference);
+    control.list_host("parent-1001", "leaving", 0);
+    step("a parent drains", &mut control, &mut reference);
+    // At least three of four intervals in which the GETs of most proxies at one cache failed.
     for _ in 0..4 {
-        let failed = Summary { outcomes: vec![(2, false)], fills: Vec::new() };
-        world.fleet.on_load_summary(&failed, world.now);
-        twin.router.round(world.now, &mut First::default(), |round| round.on_host_report(2, false));
+        let summary = Summary { outcomes: vec![(2, false)], fills: Vec::new() };
+        control.fleet.on_load_summary(&summary, control.now);
+        reference
+            .router
+            .round(control.now, &mut FirstForward::default(), |round| round.on_host_report(2, false));
     }
-    world.publish();
-    step("cache-2 fails", &mut world, &mut twin);
-    insta::assert_snapshot!(told);
+    control.publish();
+    step("cache-2 fails", &mut control, &mut reference);
+    insta::assert_snapshot!(key_counts);
 }
 
 #[test]
-fn a_purge_bounds_the_age_of_what_a_follower_accepts_and_never_lets_any_age_do() {
-    let mut world = World::new(3, 2);
-    let mut proxy = Proxy::join(&mut world, ProtocolVariant::Delta);
-    proxy.drain(&mut world);
-    let oldest = |proxy: &mut Proxy, object, world: &World| proxy.choice(object, world.unix_ms()).unwrap().3;
-    assert_eq!(oldest(&mut proxy, 0x17, &world), ms(5000));
-    let at = world.unix_ms() as f64;
-    world.purge(Some("0000000000000017"), None, at);
-    proxy.drain(&mut world);
-    // Trap: zero would mean the fresh time.
-    assert_eq!(oldest(&mut proxy, 0x17, &world), Duration::from_micros(10));
-    assert_eq!(oldest(&mut proxy, 0x18, &world), ms(5000));
-    world.pass(ms(1000));
-    proxy.drain(&mut world);
-    assert_eq!(oldest(&mut proxy, 0x17, &world), ms(998));
-    world.purge(None, Some(0x18), world.unix_ms() as f64);
-    proxy.drain(&mut world);
-    assert_eq!(oldest(&mut proxy, 0x18, &world), Duration::from_micros(10));
-    // A purge that names nothing, or no time, changes nothing.
-    world.purge(None, None, 1.0);
-    world.purge(Some("17"), None, f64::NAN);
-    assert_eq!(world.fleet.faults, 2);
-    world.pass(ms(7000));
-    proxy.drain(&mut world);
-    assert_eq!(oldest(&mut proxy, 0x17, &world), ms(5000), "it is over by its own time");
+fn a_purge_limits_the_accepted_age_and_never_yields_zero() {
+    let mut control = TestControlPlane::new(3, 2);
+    let mut proxy = Proxy::connect(&mut control, ProtocolVariant::Delta);
+    proxy.handle_all(&mut control);
+    let accepted_age = |proxy: &mut Proxy, object, control: &TestControlPlane| {
+        proxy.choice(object, control.unix_ms()).unwrap().3
+    };
+    assert_eq!(accepted_age(&mut proxy, 0x17, &control), ms(5000));
+    let unix_ms = control.unix_ms() as f64;
+    control.purge(Some("0000000000000017"), None, unix_ms);
+    proxy.handle_all(&mut control);
+    // Zero would mean the fresh time.
+    assert_eq!(accepted_age(&mut proxy, 0x17, &control), Duration::from_micros(10));
+    assert_eq!(accepted_age(&mut proxy, 0x18, &control), ms(5000));
+    control.advance_time(ms(1000));
+    proxy.handle_all(&mut control);
+    assert_eq!(accepted_age(&mut proxy, 0x17, &control), ms(998));
+    control.purge(None, Some(0x18), control.unix_ms() as f64);
+    proxy.handle_all(&mut control);
+    assert_eq!(accepted_age(&mut proxy, 0x18, &control), Duration::from_micros(10));
+    // A purge without a key or a valid time changes nothing.
+    control.purge(None, None, 1.0);
+    control.purge(Some("17"), None, f64::NAN);
+    assert_eq!(control.fleet.faults, 2);
+    control.advance_time(ms(7000));
+    proxy.handle_all(&mut control);
+    assert_eq!(accepted_age(&mut proxy, 0x17, &control), ms(5000), "the purge has ended");
 }
 
 #[test]
-fn slow_fills_set_the_flag_and_the_accepted_age_grows_at_each_miss_and_goes_back() {
-    let mut world = World::new(3, 2);
-    let mut proxy = Proxy::join(&mut world, ProtocolVariant::Delta);
+fn slow_fills_raise_the_accepted_age_until_the_window_is_over() {
+    let mut control = TestControlPlane::new(3, 2);
+    let mut proxy = Proxy::connect(&mut control, ProtocolVariant::Delta);
     let mut ages = String::new();
-    let mut see = |world: &mut World, what: &str| {
-        world.publish();
-        proxy.drain(world);
-        let (_, source, held, oldest) = proxy.choice(5, world.unix_ms()).unwrap();
+    let mut record = |control: &mut TestControlPlane, label: &str| {
+        control.publish();
+        proxy.handle_all(control);
+        let (_, source, only_if_cached, accepted_age) = proxy.choice(5, control.unix_ms()).unwrap();
         ages += &format!(
-            "{what}: {oldest:?}, from {}{}\n",
+            "{label}: {accepted_age:?}, from {}{}\n",
             source.unwrap(),
-            if held { ", held only" } else { "" }
+            if only_if_cached { ", only if cached" } else { "" }
         );
     };
-    see(&mut world, "idle");
-    let origin = world.fleet.entries().map(|e| e.host).last().unwrap();
+    record(&mut control, "idle");
+    let origin = control.fleet.entries().map(|entry| entry.host).last().unwrap();
     for bad in [0, 4] {
         let fills = Summary { outcomes: Vec::new(), fills: vec![(origin, 1, 2 + bad, bad, 3)] };
-        world.fleet.on_load_summary(&fills, world.now);
-        see(&mut world, &format!("{} fills, {bad} of them slow", 2 + bad));
+        control.fleet.on_load_summary(&fills, control.now);
+        record(&mut control, &format!("{} fills, {bad} of them slow", 2 + bad));
     }
-    world.pass(ms(6000));
-    see(&mut world, "after the window");
+    control.advance_time(ms(6000));
+    record(&mut control, "after the window");
     insta::assert_snapshot!(ages);
 }
 
 #[test]
-fn an_instance_behind_in_the_change_log_takes_no_follower_back() {
-    let (mut ahead, mut behind) = (World::new(3, 2), World::new(3, 2));
+fn an_instance_behind_in_the_change_log_does_not_revert_a_follower() {
+    let (mut ahead, mut behind) = (TestControlPlane::new(3, 2), TestControlPlane::new(3, 2));
     behind.now = ahead.now;
-    let mut proxy = Proxy::join(&mut ahead, ProtocolVariant::Delta);
-    proxy.drain(&mut ahead);
-    ahead.told("cache-0", "leaving", 0);
-    let at = ahead.unix_ms() as f64;
-    ahead.purge(Some("0000000000000007"), None, at);
-    proxy.drain(&mut ahead);
+    let mut proxy = Proxy::connect(&mut ahead, ProtocolVariant::Delta);
+    proxy.handle_all(&mut ahead);
+    ahead.list_host("cache-0", "leaving", 0);
+    let unix_ms = ahead.unix_ms() as f64;
+    ahead.purge(Some("0000000000000007"), None, unix_ms);
+    proxy.handle_all(&mut ahead);
     assert!(proxy.follower.host("cache-0").unwrap().draining);
-    // It changes over to the instance that has heard neither.
+    // The proxy connects to an instance that has received neither the drain nor the purge.
     proxy.open(&mut behind);
-    let sent = proxy.drain(&mut behind);
-    assert!(sent > 0);
-    let still = |proxy: &mut Proxy, now_ms| {
+    let message_count = proxy.handle_all(&mut behind);
+    assert!(message_count > 0);
+    let assert_unchanged = |proxy: &mut Proxy, now_ms| {
         assert!(proxy.follower.host("cache-0").unwrap().draining);
         assert!(proxy.choice(7, now_ms).unwrap().3 < ms(5000));
     };
-    still(&mut proxy, behind.unix_ms());
-    // Other news of the same host does not do it either.
+    assert_unchanged(&mut proxy, behind.unix_ms());
+    // Another update of the same host does not revert the drain either.
     behind.fleet.on_host_list(
-        &[Endpoint { weight: Some(5.0), ..line("cache-0", "active", 0) }],
+        &[Endpoint { weight: Some(5.0), ..host_entry("cache-0", "active", 0) }],
         false,
         behind.now,
     );
     behind.publish();
-    proxy.drain(&mut behind);
-    still(&mut proxy, behind.unix_ms());
-    // Once it must have heard all, and still says otherwise, it is right: the drain was taken back.
+    proxy.handle_all(&mut behind);
+    assert_unchanged(&mut proxy, behind.unix_ms());
+    // After the time within which it must have received everything, its version is right: the drain was cancelled.
     for _ in 0..90 {
-        behind.pass(ms(100));
-        proxy.drain(&mut behind);
+        behind.advance_time(ms(100));
+        proxy.handle_all(&mut behind);
     }
     assert!(!proxy.follower.host("cache-0").unwrap().draining);
 }
 
 #[test]
-fn a_drain_is_taken_though_the_list_leaves_out_or_contradicts_when_the_host_started() {
-    let mut world = World::new(3, 2);
-    let mut proxy = Proxy::join(&mut world, ProtocolVariant::Delta);
-    let started = world.unix_ms();
-    world.told("cache-0", "active", started);
-    proxy.drain(&mut world);
-    // As if it had never been told that it started late.
-    world.told("cache-0", "leaving", 0);
-    proxy.drain(&mut world);
+fn a_drain_is_applied_even_if_the_list_omits_or_contradicts_the_start_time() {
+    let mut control = TestControlPlane::new(3, 2);
+    let mut proxy = Proxy::connect(&mut control, ProtocolVariant::Delta);
+    let started = control.unix_ms();
+    control.list_host("cache-0", "active", started);
+    proxy.handle_all(&mut control);
+    // The line of the drain contradicts the start time that was listed before.
+    control.list_host("cache-0", "leaving", 0);
+    proxy.handle_all(&mut control);
     assert!(proxy.follower.host("cache-0").unwrap().draining);
-    // The drain is taken back by the instance that told it: that is later news, and holds at once.
-    world.pass(ms(20));
-    world.told("cache-0", "active", started);
-    proxy.drain(&mut world);
+    // The instance that published the drain cancels it. This is a later fact, and applies at once.
+    control.advance_time(ms(20));
+    control.list_host("cache-0", "active", started);
+    proxy.handle_all(&mut control);
     assert!(!proxy.follower.host("cache-0").unwrap().draining);
-    // Another instance knows an earlier life alone: its drain is taken all the same, for a lax error breaks a rule.
-    let mut other = World::new(3, 2);
-    other.now = world.now;
-    other.told("cache-0", "leaving", 0);
+    // Another instance only knows an earlier incarnation. Its drain is applied all the same, since a missed drain would
+    // break a rule.
+    let mut other = TestControlPlane::new(3, 2);
+    other.now = control.now;
+    other.list_host("cache-0", "leaving", 0);
     proxy.open(&mut other);
-    proxy.drain(&mut other);
+    proxy.handle_all(&mut other);
     assert!(proxy.follower.host("cache-0").unwrap().draining);
 }
 
 #[test]
-fn a_host_back_cold_at_the_same_address_within_one_push_is_another_life() {
-    let mut world = World::new(3, 2);
-    let mut proxies =
-        [Proxy::join(&mut world, ProtocolVariant::Delta), Proxy::join(&mut world, ProtocolVariant::Whole)];
+fn a_host_restarted_at_the_same_address_within_one_update_is_a_new_incarnation() {
+    let mut control = TestControlPlane::new(3, 2);
+    let mut proxies = [
+        Proxy::connect(&mut control, ProtocolVariant::Delta),
+        Proxy::connect(&mut control, ProtocolVariant::Whole),
+    ];
     for proxy in &mut proxies {
-        proxy.drain(&mut world);
+        proxy.handle_all(&mut control);
     }
-    let started = world.unix_ms();
-    let cold = Endpoint { name: "cache-77".into(), ..line("cache-0", "active", started) };
-    let all = [line("cache-0", "leaving", 0), line("cache-0", "left", 0), cold];
-    world.fleet.on_host_list(&all, false, world.now);
-    world.publish();
+    let started = control.unix_ms();
+    let restarted = Endpoint { name: "cache-77".into(), ..host_entry("cache-0", "active", started) };
+    let entries = [host_entry("cache-0", "leaving", 0), host_entry("cache-0", "left", 0), restarted];
+    control.fleet.on_host_list(&entries, false, control.now);
+    control.publish();
     for proxy in &mut proxies {
-        proxy.drain(&mut world);
+        proxy.handle_all(&mut control);
         assert!(proxy.follower.host("cache-0").is_none());
         let part = proxy.follower.host("cache-77").unwrap().part;
         assert!(part > 0.0 && part < 0.25, "{part}");
     }
 }
+
+/// Instances compare hashes of these texts as resource versions. A renamed or moved field would change the versions.
+#[test]
+fn the_texts_that_are_hashed_into_versions_are_stable() {
+    let host = HostLine {
+        name: "cache-1".into(),
+        address: "127.0.0.1:19001".parse().unwrap(),
+        tier: Tier::Caches,
+        life: 5,
+        draining: true,
+        mark: 7,
+        points: 64,
+        part: 0.5,
+        near: true,
+        fills: 3,
+    };
+    assert_eq!(
+        host.version_text(),
+        "HostLine { name: \"cache-1\", address: 127.0.0.1:19001, tier: Caches, life: 5, draining: true, mark: 7, \
+         points: 64, part: 0.5, near: true, fills: 3 }"
+    );
+    let tiers = [Tier::Caches, Tier::Parents, Tier::Origin];
+    assert_eq!(format!("{tiers:?}"), "[Caches, Parents, Origin]");
+    let terms = TermsLine { accepted_age: ms(5000), forwards: 2, timeout: ms(1500), ..TermsLine::default() };
+    assert_eq!(
+        format!("{terms:?}"),
+        "TermsLine { accepted_age: 5s, renew: false, again: false, passed_on: false, spared: false, forwards: 2, \
+         timeout: 1.5s }"
+    );
+    let purge = PurgeLine { at_unix_ms: 1, until_unix_ms: 2 };
+    assert_eq!(format!("{purge:?}"), "PurgeLine { at_unix_ms: 1, until_unix_ms: 2 }");
+}
--- a/crates/control/tests/absurd_reports.rs
+++ b/crates/control/tests/out_of_range_reports.rs
@@ -1,4 +1,4 @@
-//! A running control service, over loopback sockets, against load reports whose numbers can't be true.
+//! A running control service, over loopback sockets, that receives load reports with impossible numbers.
 
 mod common;
 
@@ -18,36 +18,36 @@
 use tonic::Code;
 use tonic::transport::{Channel, Endpoint};
 
-/// How long a service may take to listen.
-const START_MOST: Duration = Duration::from_secs(10);
-/// How long a stream may take to end.
-const END_MOST: Duration = Duration::from_secs(10);
-/// Streams that ask for too much, one after the other, while and after the reports are heard.
-const ASKS: usize = 10;
+/// Time limit for the start of the service.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time limit for the end of a stream.
+const STREAM_END_TIMEOUT: Duration = Duration::from_secs(10);
+/// Streams that subscribe to too many names, one after the other, while and after the reports are handled.
+const OVERSIZED_SUBSCRIPTIONS: usize = 10;
 
-/// The example's service on a thread of its own, at a port that was free.
+/// Runs the service of the example file on a thread of its own, at a free port.
 fn serve() -> (SocketAddr, JoinHandle<Result<(), String>>) {
     let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let text = EXAMPLE.replace("127.0.0.1:18000", &address.to_string());
-    let file = myrtlegauge_operator::read(&text).expect("the example has no fault");
+    let file = myrtlegauge_operator::read(&text).expect("the example file is valid");
     let service = std::thread::spawn(move || myrtlegauge_control::service::run(PathBuf::new(), &file));
     (address, service)
 }
 
-async fn connect(to: SocketAddr) -> Channel {
-    let endpoint = Endpoint::from_shared(format!("http://{to}")).unwrap();
-    let until = Instant::now() + START_MOST;
+async fn connect(address: SocketAddr) -> Channel {
+    let endpoint = Endpoint::from_shared(format!("http://{address}")).unwrap();
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
         match endpoint.connect().await {
             Ok(channel) => return channel,
-            Err(fault) => assert!(Instant::now() < until, "the service does not answer: {fault}"),
+            Err(error) => assert!(Instant::now() < deadline, "the service does not answer: {error}"),
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A report that names each of the example's hosts, with counts that have no sum.
-fn absurd_report(liar: usize) -> LoadStatsRequest {
+/// A report on each host of the example file, with counts whose sums overflow.
+fn out_of_range_report(index: usize) -> LoadStatsRequest {
     let metric = |name: &str| endpoint::EndpointLoadMetricStats {
         metric_name: name.into(),
         num_requests_finished_with_metric: u64::MAX,
@@ -64,19 +64,19 @@
         endpoint::UpstreamLocalityStats { upstream_endpoint_stats: stats.collect(), ..Default::default() };
     let cluster = endpoint::ClusterStats { upstream_locality_stats: vec![locality], ..Default::default() };
     LoadStatsRequest {
-        node: Some(Node { id: format!("liar-{liar}"), ..Default::default() }),
+        node: Some(Node { id: format!("liar-{index}"), ..Default::default() }),
         cluster_stats: vec![cluster],
     }
 }
 
-/// How a stream ends that asks for more names than it may.
-async fn ask_for_too_much(channel: Channel) -> Code {
+/// The status with which a stream ends that subscribes to more names than the limit.
+async fn subscribe_to_too_many_names(channel: Channel) -> Code {
     let request = DeltaDiscoveryRequest {
         type_url: ResourceType::Host.type_url().into(),
-        resource_names_subscribe: (0..10_000).map(|name| format!("caches/none-{name}")).collect(),
+        resource_names_subscribe: (0..10_000).map(|index| format!("caches/none-{index}")).collect(),
         ..Default::default()
     };
-    // The request side stays open, as a proxy's does.
+    // The request side stays open, as that of a proxy does.
     let requests = tokio_stream::StreamExt::chain(tokio_stream::once(request), tokio_stream::pending());
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
     let mut answers = match client.delta_aggregated_resources(requests).await {
@@ -93,16 +93,16 @@
 }
 
 #[tokio::test]
-async fn reports_that_can_not_be_added_up_leave_the_service_answering() {
+async fn the_service_keeps_answering_after_reports_whose_sums_overflow() {
     let (address, service) = serve();
     let mut reporter = LoadReportingServiceClient::new(connect(address).await);
-    let reports = (0..3).map(absurd_report).collect::<Vec<_>>();
+    let reports = (0..3).map(out_of_range_report).collect::<Vec<_>>();
     let reports = tokio_stream::StreamExt::chain(tokio_stream::iter(reports), tokio_stream::pending());
-    let _heard = reporter.stream_load_stats(reports).await.expect("reports are taken");
-    for ask in 0..ASKS {
+    let _responses = reporter.stream_load_stats(reports).await.expect("the report stream opens");
+    for attempt in 0..OVERSIZED_SUBSCRIPTIONS {
         let channel = connect(address).await;
-        let ended = tokio::time::timeout(END_MOST, ask_for_too_much(channel)).await;
-        assert_eq!(ended.expect("the stream ends"), Code::ResourceExhausted, "ask {ask}");
+        let ended = tokio::time::timeout(STREAM_END_TIMEOUT, subscribe_to_too_many_names(channel)).await;
+        assert_eq!(ended.expect("the stream ends"), Code::ResourceExhausted, "attempt {attempt}");
     }
     assert!(!service.is_finished(), "the service ended");
 }
