--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -72,7 +72,7 @@
             }
         }
     };
-    let began = until("gives decisions");
+    let began = until("serves routing decisions");
     assert_eq!((began["level"].as_str(), began["address"].as_str()), (Some("INFO"), Some(&*address)));
     let asked = run(&["status", &address]);
     assert_eq!(asked.status.code(), Some(0), "{}", text(&asked.stderr));
@@ -85,12 +85,19 @@
         told.lines().filter(|line| !line.contains("cache-2")).map(|line| format!("{line}\n")).collect();
     std::fs::write(&file.0, fewer).unwrap();
     signal("-HUP", service.0.id());
-    assert_eq!(until("read anew")["hosts"], 5);
+    assert_eq!(until("operator file reloaded")["hosts"], 5);
     std::fs::write(&file.0, "(control").unwrap();
     signal("-HUP", service.0.id());
-    assert_eq!(until("not read anew")["level"], "ERROR");
+    assert_eq!(until("operator file not reloaded")["level"], "ERROR");
     signal("-USR1", service.0.id());
-    assert_eq!(until("change log")["hosts"], 5);
+    // The keys of the counters are read by operators' tools.
+    assert_eq!(until("streams")["turned_away"], 0);
+    assert_eq!(until("messages")["beats"], 0);
+    let change_log = until("change log");
+    assert_eq!((&change_log["hosts"], &change_log["polls_lost"]), (&5.into(), &0.into()));
+    assert_eq!(change_log["logs_anew"], 0);
+    assert_eq!(until("reports")["disbelieved"], 0);
+    assert!(until("loop")["turn_longest_us"].is_u64());
     signal("-TERM", service.0.id());
     let end = Instant::now() + Duration::from_secs(5);
     while service.0.try_wait().unwrap().is_none() {
--- a/crates/control/src/grpc.rs
+++ b/crates/control/src/grpc.rs
@@ -1,7 +1,7 @@
-//! The published gRPC services, on tokio on a thread of its own. Nothing is decided here: what proxies say goes to the
-//! service's loop, and what the loop has for them goes out as it is.
+//! The published gRPC services, on tokio on a thread of their own. Nothing is decided here: requests go to the event loop of
+//! the service, and the messages of the event loop are sent unchanged.
 
-use crate::exchange::{Form, Message, Request};
+use crate::ads_server::{Message, ProtocolVariant, Request};
 use crate::messages;
 use calloop::channel::Sender;
 use envoy_types::pb::envoy::config::core::v3::{ControlPlane, Node};
@@ -25,104 +25,107 @@
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Status, Streaming};
 
-/// Messages that wait for one proxy outside the exchange: a few, for what waits here can't be overtaken.
-pub const ROOM: usize = 4;
-/// Requests of one proxy that wait for the loop; more are left unread.
-const UNHEARD: usize = 8;
-/// Bytes of one request or report: four thousand names, or reports of as many hosts.
-const REQUEST_LONG: usize = 1024 * 1024;
-/// Streams of one connection: its own, reports, status.
-const STREAMS: u32 = 8;
-/// A connection that is dead without a word is found in this much and the same again.
+/// Messages of one stream that may wait for the network. Only a few, since urgent messages can't overtake them.
+pub const OUTBOX_CAPACITY: usize = 4;
+/// Requests of one stream that may wait for the event loop. Further ones are left unread.
+const MAX_PENDING_REQUESTS: usize = 8;
+/// Maximum size of a request or report; sufficient for four thousand names or reports on as many hosts.
+const MAX_REQUEST_BYTES: usize = 1024 * 1024;
+/// Concurrent streams of one connection, used for ADS, load reports and status.
+const MAX_STREAMS_PER_CONNECTION: u32 = 8;
+/// HTTP/2 keep-alive interval and time-out. A dead connection is detected within the sum of both.
 const KEEPALIVE: Duration = Duration::from_secs(10);
 
-/// A stream, from its start.
-pub type Ticket = u64;
+/// Identifies a gRPC stream. Never reused.
+pub type GrpcStreamId = u64;
 
-/// What the loop hears.
-pub enum Heard {
+/// Events for the event loop of the service.
+pub enum ServiceEvent {
     Opened {
-        ticket: Ticket,
+        stream_id: GrpcStreamId,
         peer: String,
-        out: Out,
+        sender: ResponseSender,
     },
-    /// The permit is given back once it was heard.
-    Asked {
-        ticket: Ticket,
+    /// The permit is released when the request has been handled.
+    Requested {
+        stream_id: GrpcStreamId,
         node: String,
         request: Request,
         permit: OwnedSemaphorePermit,
     },
     Closed {
-        ticket: Ticket,
+        stream_id: GrpcStreamId,
     },
     Reported {
         report: LoadStatsRequest,
         permit: OwnedSemaphorePermit,
     },
-    Shown {
+    StatusRequested {
         /// An operator's order for a zone.
         order: Option<(String, String)>,
         reply: oneshot::Sender<Result<ClientStatusResponse, String>>,
     },
 }
 
-/// Where a stream's messages go.
-pub enum Out {
+/// Sends the responses of one ADS stream.
+pub enum ResponseSender {
     Whole(mpsc::Sender<Result<DiscoveryResponse, Status>>),
     Delta(mpsc::Sender<Result<DeltaDiscoveryResponse, Status>>),
 }
 
-impl Out {
-    pub fn form(&self) -> Form {
+impl ResponseSender {
+    /// The protocol variant of the stream.
+    pub fn variant(&self) -> ProtocolVariant {
         match self {
-            Out::Whole(_) => Form::Whole,
-            Out::Delta(_) => Form::Delta,
+            ResponseSender::Whole(_) => ProtocolVariant::Whole,
+            ResponseSender::Delta(_) => ProtocolVariant::Delta,
         }
     }
 
-    /// Messages that may still be handed over.
-    pub fn room(&self) -> usize {
+    /// The number of messages that can be sent now.
+    pub fn capacity(&self) -> usize {
         match self {
-            Out::Whole(out) => out.capacity(),
-            Out::Delta(out) => out.capacity(),
+            ResponseSender::Whole(sender) => sender.capacity(),
+            ResponseSender::Delta(sender) => sender.capacity(),
         }
     }
 
-    /// Hands a message over, where there is room.
-    pub fn send(&self, message: Message, plane: &str) {
-        let control_plane = Some(ControlPlane { identifier: plane.to_owned() });
+    /// Sends a message if there is capacity.
+    pub fn send(&self, message: Message, control_plane: &str) {
+        let control_plane = Some(ControlPlane { identifier: control_plane.to_owned() });
         match self {
-            Out::Whole(out) => {
-                let _ = out.try_send(Ok(DiscoveryResponse { control_plane, ..whole(message) }));
+            ResponseSender::Whole(sender) => {
+                let _ = sender.try_send(Ok(DiscoveryResponse { control_plane, ..encode_whole(message) }));
             }
-            Out::Delta(out) => {
-                let _ = out.try_send(Ok(DeltaDiscoveryResponse { control_plane, ..delta(message) }));
+            ResponseSender::Delta(sender) => {
+                let _ =
+                    sender.try_send(Ok(DeltaDiscoveryResponse { control_plane, ..encode_delta(message) }));
             }
         }
     }
 
+    /// Ends the stream with a status.
     pub fn end(&self, status: Status) {
         match self {
-            Out::Whole(out) => drop(out.try_send(Err(status))),
-            Out::Delta(out) => drop(out.try_send(Err(status))),
+            ResponseSender::Whole(sender) => drop(sender.try_send(Err(status))),
+            ResponseSender::Delta(sender) => drop(sender.try_send(Err(status))),
         }
     }
 }
 
-/// A state-of-the-world message; what has a time to live stands in the published wrapper.
-fn whole(message: Message) -> DiscoveryResponse {
-    let kind = message.kind;
-    let resources = message.resources.into_iter().map(|sent| {
-        let body = sent.body.as_ref().map(|body| messages::any(kind, body));
-        match (sent.ttl, body) {
+/// Encodes a state-of-the-world response. Resources with a time to live are put into the wrapper message `Resource`.
+fn encode_whole(message: Message) -> DiscoveryResponse {
+    let resource_type = message.resource_type;
+    let resources = message.resources.into_iter().map(|resource| {
+        let body = resource.body.as_ref().map(|body| messages::encode_any(resource_type, body));
+        match (resource.ttl, body) {
             (None, Some(body)) => body,
-            (ttl, resource) => {
+            (ttl, encoded) => {
                 let wrapped = Resource {
-                    name: sent.name.to_string(),
-                    version: sent.version.to_string(),
-                    ttl: ttl.map(messages::ttl),
-                    resource,
+                    name: resource.name.to_string(),
+                    version: resource.version.to_string(),
+                    ttl: ttl.map(messages::encode_duration),
+                    resource: encoded,
                     ..Default::default()
                 };
                 Any { type_url: Resource::type_url(), value: wrapped.encode_to_vec() }
@@ -132,25 +135,25 @@
     DiscoveryResponse {
         version_info: message.version,
         resources: resources.collect(),
-        type_url: kind.url().into(),
+        type_url: resource_type.type_url().into(),
         nonce: message.nonce,
         ..Default::default()
     }
 }
 
-fn delta(message: Message) -> DeltaDiscoveryResponse {
-    let kind = message.kind;
-    let resources = message.resources.into_iter().map(|sent| Resource {
-        name: sent.name.to_string(),
-        version: sent.version.to_string(),
-        ttl: sent.ttl.map(messages::ttl),
-        resource: sent.body.as_ref().map(|body| messages::any(kind, body)),
+fn encode_delta(message: Message) -> DeltaDiscoveryResponse {
+    let resource_type = message.resource_type;
+    let resources = message.resources.into_iter().map(|resource| Resource {
+        name: resource.name.to_string(),
+        version: resource.version.to_string(),
+        ttl: resource.ttl.map(messages::encode_duration),
+        resource: resource.body.as_ref().map(|body| messages::encode_any(resource_type, body)),
         ..Default::default()
     });
     DeltaDiscoveryResponse {
         resources: resources.collect(),
         removed_resources: message.removed.iter().map(ToString::to_string).collect(),
-        type_url: kind.url().into(),
+        type_url: resource_type.type_url().into(),
         nonce: message.nonce,
         ..Default::default()
     }
@@ -161,73 +164,77 @@
 }
 
 impl From<DiscoveryRequest> for Request {
-    fn from(told: DiscoveryRequest) -> Self {
+    fn from(request: DiscoveryRequest) -> Self {
         Self {
-            url: told.type_url,
-            names: told.resource_names,
-            version: told.version_info,
-            nonce: told.response_nonce,
-            error: told.error_detail.map(|error| error.message),
+            type_url: request.type_url,
+            resource_names: request.resource_names,
+            accepted_version: request.version_info,
+            nonce: request.response_nonce,
+            error_detail: request.error_detail.map(|error| error.message),
             ..Self::default()
         }
     }
 }
 
 impl From<DeltaDiscoveryRequest> for Request {
-    fn from(told: DeltaDiscoveryRequest) -> Self {
-        let mut holds: Vec<_> = told.initial_resource_versions.into_iter().collect();
-        holds.sort_unstable();
+    fn from(request: DeltaDiscoveryRequest) -> Self {
+        let mut held_versions: Vec<_> = request.initial_resource_versions.into_iter().collect();
+        held_versions.sort_unstable();
         Self {
-            url: told.type_url,
-            names: told.resource_names_subscribe,
-            dropped: told.resource_names_unsubscribe,
-            holds,
-            nonce: told.response_nonce,
-            error: told.error_detail.map(|error| error.message),
+            type_url: request.type_url,
+            resource_names: request.resource_names_subscribe,
+            unsubscribed_names: request.resource_names_unsubscribe,
+            held_versions,
+            nonce: request.response_nonce,
+            error_detail: request.error_detail.map(|error| error.message),
             ..Self::default()
         }
     }
 }
 
-/// What every service here needs.
+/// The state that the gRPC services share.
 #[derive(Clone)]
-struct Front {
-    hears: Sender<Heard>,
-    tickets: Arc<AtomicU64>,
+struct Frontend {
+    events: Sender<ServiceEvent>,
+    next_stream_id: Arc<AtomicU64>,
     reports_every: Duration,
 }
 
-type Answers<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
-/// Tells the loop that a stream is over, however it ended.
-struct Ends(Sender<Heard>, Ticket);
+/// Reports the end of a stream to the event loop, however it ended.
+struct CloseNotifier(Sender<ServiceEvent>, GrpcStreamId);
 
-impl Drop for Ends {
+impl Drop for CloseNotifier {
     fn drop(&mut self) {
-        let _ = self.0.send(Heard::Closed { ticket: self.1 });
+        let _ = self.0.send(ServiceEvent::Closed { stream_id: self.1 });
     }
 }
 
-impl Front {
-    fn opened(&self, peer: Option<SocketAddr>, out: Out) -> Ticket {
-        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
+impl Frontend {
+    fn open(&self, peer: Option<SocketAddr>, sender: ResponseSender) -> GrpcStreamId {
+        let stream_id = self.next_stream_id.fetch_add(1, Ordering::Relaxed);
         let peer = peer.map(|peer| peer.to_string()).unwrap_or_default();
-        let _ = self.hears.send(Heard::Opened { ticket, peer, out });
-        ticket
+        let _ = self.events.send(ServiceEvent::Opened { stream_id, peer, sender });
+        stream_id
     }
 
-    /// Passes a stream's requests to the loop, a few at a time, until it ends.
-    fn listen<T>(&self, ticket: Ticket, mut inbound: Streaming<T>, read: fn(T) -> (String, Request))
-    where
+    /// Passes the requests of a stream to the event loop, a few at a time, until the stream ends.
+    fn forward_requests<T>(
+        &self,
+        stream_id: GrpcStreamId,
+        mut inbound: Streaming<T>,
+        read: fn(T) -> (String, Request),
+    ) where
         T: Send + 'static,
     {
-        let ends = Ends(self.hears.clone(), ticket);
+        let notifier = CloseNotifier(self.events.clone(), stream_id);
         tokio::spawn(async move {
-            let unheard = Arc::new(Semaphore::new(UNHEARD));
-            while let Ok(Some(told)) = inbound.message().await {
-                let (node, request) = read(told);
-                let Ok(permit) = Arc::clone(&unheard).acquire_owned().await else { break };
-                if ends.0.send(Heard::Asked { ticket, node, request, permit }).is_err() {
+            let pending_requests = Arc::new(Semaphore::new(MAX_PENDING_REQUESTS));
+            while let Ok(Some(request)) = inbound.message().await {
+                let (node, request) = read(request);
+                let Ok(permit) = Arc::clone(&pending_requests).acquire_owned().await else { break };
+                if notifier.0.send(ServiceEvent::Requested { stream_id, node, request, permit }).is_err() {
                     break;
                 }
             }
@@ -236,17 +243,19 @@
 }
 
 #[tonic::async_trait]
-impl ads::AggregatedDiscoveryService for Front {
-    type StreamAggregatedResourcesStream = Answers<DiscoveryResponse>;
-    type DeltaAggregatedResourcesStream = Answers<DeltaDiscoveryResponse>;
+impl ads::AggregatedDiscoveryService for Frontend {
+    type StreamAggregatedResourcesStream = ResponseStream<DiscoveryResponse>;
+    type DeltaAggregatedResourcesStream = ResponseStream<DeltaDiscoveryResponse>;
 
     async fn stream_aggregated_resources(
         &self,
         request: tonic::Request<Streaming<DiscoveryRequest>>,
     ) -> Result<tonic::Response<Self::StreamAggregatedResourcesStream>, Status> {
-        let (out, answers) = mpsc::channel(ROOM);
-        let ticket = self.opened(request.remote_addr(), Out::Whole(out));
-        self.listen(ticket, request.into_inner(), |mut told| (node_name(told.node.take()), told.into()));
+        let (sender, answers) = mpsc::channel(OUTBOX_CAPACITY);
+        let stream_id = self.open(request.remote_addr(), ResponseSender::Whole(sender));
+        self.forward_requests(stream_id, request.into_inner(), |mut request| {
+            (node_name(request.node.take()), request.into())
+        });
         Ok(tonic::Response::new(Box::pin(ReceiverStream::new(answers))))
     }
 
@@ -254,112 +263,120 @@
         &self,
         request: tonic::Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<tonic::Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        let (out, answers) = mpsc::channel(ROOM);
-        let ticket = self.opened(request.remote_addr(), Out::Delta(out));
-        self.listen(ticket, request.into_inner(), |mut told| (node_name(told.node.take()), told.into()));
+        let (sender, answers) = mpsc::channel(OUTBOX_CAPACITY);
+        let stream_id = self.open(request.remote_addr(), ResponseSender::Delta(sender));
+        self.forward_requests(stream_id, request.into_inner(), |mut request| {
+            (node_name(request.node.take()), request.into())
+        });
         Ok(tonic::Response::new(Box::pin(ReceiverStream::new(answers))))
     }
 }
 
 #[tonic::async_trait]
-impl lrs::LoadReportingService for Front {
-    type StreamLoadStatsStream = Answers<LoadStatsResponse>;
+impl lrs::LoadReportingService for Frontend {
+    type StreamLoadStatsStream = ResponseStream<LoadStatsResponse>;
 
     async fn stream_load_stats(
         &self,
         request: tonic::Request<Streaming<LoadStatsRequest>>,
     ) -> Result<tonic::Response<Self::StreamLoadStatsStream>, Status> {
-        let asked = LoadStatsResponse {
+        let settings = LoadStatsResponse {
             send_all_clusters: true,
-            load_reporting_interval: Some(messages::ttl(self.reports_every)),
+            load_reporting_interval: Some(messages::encode_duration(self.reports_every)),
             report_endpoint_granularity: true,
             ..Default::default()
         };
-        let (out, answers) = mpsc::channel(1);
-        let _ = out.try_send(Ok(asked));
-        let hears = self.hears.clone();
+        let (sender, answers) = mpsc::channel(1);
+        let _ = sender.try_send(Ok(settings));
+        let events = self.events.clone();
         let mut inbound = request.into_inner();
         tokio::spawn(async move {
-            // The first message names the proxy; later ones may leave it out.
-            let (mut node, unheard) = (None, Arc::new(Semaphore::new(1)));
+            // The first message names the proxy; later ones may omit it.
+            let (mut node, pending_requests) = (None, Arc::new(Semaphore::new(1)));
             while let Ok(Some(mut report)) = inbound.message().await {
                 node = report.node.take().or(node);
                 report.node.clone_from(&node);
-                let Ok(permit) = Arc::clone(&unheard).acquire_owned().await else { break };
-                if hears.send(Heard::Reported { report, permit }).is_err() {
+                let Ok(permit) = Arc::clone(&pending_requests).acquire_owned().await else { break };
+                if events.send(ServiceEvent::Reported { report, permit }).is_err() {
                     break;
                 }
             }
-            drop(out);
+            drop(sender);
         });
         Ok(tonic::Response::new(Box::pin(ReceiverStream::new(answers))))
     }
 }
 
 #[tonic::async_trait]
-impl csds::ClientStatusDiscoveryService for Front {
-    type StreamClientStatusStream = Answers<ClientStatusResponse>;
+impl csds::ClientStatusDiscoveryService for Frontend {
+    type StreamClientStatusStream = ResponseStream<ClientStatusResponse>;
 
     async fn stream_client_status(
         &self,
         request: tonic::Request<Streaming<ClientStatusRequest>>,
     ) -> Result<tonic::Response<Self::StreamClientStatusStream>, Status> {
-        let front = self.clone();
-        let answers = request.into_inner().then(move |asked| {
-            let front = front.clone();
-            async move { front.show(&asked?).await }
+        let frontend = self.clone();
+        let answers = request.into_inner().then(move |request| {
+            let frontend = frontend.clone();
+            async move { frontend.fetch_status(&request?).await }
         });
         Ok(tonic::Response::new(Box::pin(answers)))
     }
 
     async fn fetch_client_status(
         &self,
-        asked: tonic::Request<ClientStatusRequest>,
+        request: tonic::Request<ClientStatusRequest>,
     ) -> Result<tonic::Response<ClientStatusResponse>, Status> {
-        Ok(tonic::Response::new(self.show(asked.get_ref()).await?))
+        Ok(tonic::Response::new(self.fetch_status(request.get_ref()).await?))
     }
 }
 
-impl Front {
-    async fn show(&self, asked: &ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
-        let (reply, shown) = oneshot::channel();
-        let gone = || Status::unavailable("the service is ending");
-        self.hears.send(Heard::Shown { order: crate::shown::ordered(asked), reply }).map_err(|_| gone())?;
-        shown.await.map_err(|_| gone())?.map_err(Status::invalid_argument)
+impl Frontend {
+    async fn fetch_status(&self, request: &ClientStatusRequest) -> Result<ClientStatusResponse, Status> {
+        let (reply, status) = oneshot::channel();
+        let ending = || Status::unavailable("the control service is shutting down");
+        self.events
+            .send(ServiceEvent::StatusRequested { order: crate::client_status::parse_order(request), reply })
+            .map_err(|_| ending())?;
+        status.await.map_err(|_| ending())?.map_err(Status::invalid_argument)
     }
 }
 
-/// Serves on a listener until the process ends.
-pub fn serve(listener: TcpListener, hears: Sender<Heard>, reports_every: Duration) -> Result<(), String> {
-    let front = Front { hears, tickets: Arc::new(AtomicU64::new(0)), reports_every };
+/// Starts the gRPC services on a thread of their own. They run until the process ends.
+pub fn serve(
+    listener: TcpListener,
+    events: Sender<ServiceEvent>,
+    reports_every: Duration,
+) -> Result<(), String> {
+    let frontend = Frontend { events, next_stream_id: Arc::new(AtomicU64::new(0)), reports_every };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime for gRPC: {e}"))?;
-    listener.set_nonblocking(true).map_err(|e| format!("the listener: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("can't start the gRPC runtime: {e}"))?;
+    listener.set_nonblocking(true).map_err(|e| format!("can't make the gRPC listener non-blocking: {e}"))?;
     let run = move || {
-        let served = runtime.block_on(async move {
+        let result = runtime.block_on(async move {
             let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| e.to_string())?;
             let incoming = tonic::transport::server::TcpIncoming::from(listener).with_nodelay(Some(true));
             tonic::transport::Server::builder()
                 .http2_keepalive_interval(Some(KEEPALIVE))
                 .http2_keepalive_timeout(Some(KEEPALIVE))
-                .max_concurrent_streams(STREAMS)
+                .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
                 .add_service(
-                    ads::AggregatedDiscoveryServiceServer::new(front.clone())
-                        .max_decoding_message_size(REQUEST_LONG),
+                    ads::AggregatedDiscoveryServiceServer::new(frontend.clone())
+                        .max_decoding_message_size(MAX_REQUEST_BYTES),
                 )
                 .add_service(
-                    lrs::LoadReportingServiceServer::new(front.clone())
-                        .max_decoding_message_size(REQUEST_LONG),
+                    lrs::LoadReportingServiceServer::new(frontend.clone())
+                        .max_decoding_message_size(MAX_REQUEST_BYTES),
                 )
-                .add_service(csds::ClientStatusDiscoveryServiceServer::new(front))
+                .add_service(csds::ClientStatusDiscoveryServiceServer::new(frontend))
                 .serve_with_incoming(incoming)
                 .await
                 .map_err(|e| e.to_string())
         });
-        if let Err(fault) = served {
-            log::error!("gRPC ended: {fault}");
+        if let Err(error) = result {
+            log::error!("gRPC services ended, proxies are no longer served: {error}");
         }
     };
     let thread = std::thread::Builder::new().name("grpc".into()).spawn(run);
-    thread.map(drop).map_err(|e| format!("no thread for gRPC: {e}"))
+    thread.map(drop).map_err(|e| format!("can't start the gRPC thread: {e}"))
 }
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -1,25 +1,26 @@
-//! The published messages that carry our decisions, made and read in one place.
+//! Encoding and decoding of the published xDS messages that carry the routing decisions.
 
-use crate::shelf::Kind;
+use crate::resource_cache::ResourceType;
 use envoy_types::pb::envoy::config::cluster::v3 as cluster;
 use envoy_types::pb::envoy::config::core::v3 as core;
 use envoy_types::pb::envoy::config::endpoint::v3 as endpoint;
 use envoy_types::pb::envoy::config::route::v3 as route;
-use envoy_types::pb::google::protobuf::value::Kind as Of;
-use envoy_types::pb::google::protobuf::{Any, Duration as Span, Struct, UInt32Value, Value};
+use envoy_types::pb::google::protobuf::value::Kind as ProtoValue;
+use envoy_types::pb::google::protobuf::{Any, Duration as ProtoDuration, Struct, UInt32Value, Value};
 use myrtlegauge_zones::{Stage, Verdict};
 use prost::Message;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Under this name our part of an endpoint's metadata stands.
-pub const OURS: &str = "myrtlegauge";
-const STRUCT: &str = "type.googleapis.com/google.protobuf.Struct";
-/// The assignment whose hosts are resources of their own.
-pub const BY_HOST: &str = "caches-by-host";
-pub const ROUTES: &str = "gets";
+/// Name under which the metadata of this program is stored in the metadata of an endpoint.
+pub const METADATA_NAMESPACE: &str = "myrtlegauge";
+const STRUCT_TYPE_URL: &str = "type.googleapis.com/google.protobuf.Struct";
+/// Name of the cluster and assignment whose hosts are resources of their own.
+pub const BY_HOST_CLUSTER: &str = "caches-by-host";
+/// Name of the route table.
+pub const ROUTE_TABLE: &str = "gets";
 
-/// What a host is to this location.
+/// The role of a host for this location.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
     Caches,
@@ -27,9 +28,11 @@
     Origin,
 }
 
+/// All tiers, in the order of their indices.
 pub const TIERS: [Tier; 3] = [Tier::Caches, Tier::Parents, Tier::Origin];
 
 impl Tier {
+    /// The published name of the tier.
     pub fn name(self) -> &'static str {
         match self {
             Tier::Caches => "caches",
@@ -38,38 +41,43 @@
         }
     }
 
-    pub fn of(name: &str) -> Option<Self> {
+    /// The tier of a published name.
+    pub fn from_name(name: &str) -> Option<Self> {
         TIERS.into_iter().find(|tier| tier.name() == name)
     }
 }
 
-/// A host as proxies are told of it.
+/// A host as it is published to proxies. Its whole `Debug` text is hashed into versions that instances compare, so struct
+/// name, field names and field order are part of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostLine {
     pub name: String,
     pub address: SocketAddr,
     pub tier: Tier,
-    /// When its life began, Unix milliseconds; with `draining` the order of what is told of it.
+    /// When its incarnation started, in Unix milliseconds. Orders the facts about a host, together with `draining`.
     pub life: u64,
     pub draining: bool,
+    /// Hash of the host id.
     pub mark: u64,
+    /// Points on the ring.
     pub points: u64,
-    /// Of its keys; 0: it takes none now.
+    /// Fraction of its keys that it takes. 0: it takes none now.
     pub part: f64,
     pub near: bool,
-    /// Fills that one proxy may have out there.
+    /// Fills that one proxy may have in flight at this host.
     pub fills: u32,
 }
 
-/// A purge as proxies are told of it.
+/// A purge as it is published to proxies. Its `Debug` text is hashed into versions, as for [`HostLine`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PurgeLine {
     pub at_unix_ms: u64,
-    /// From then on no copy from before it is anywhere.
+    /// From this time on, no copy from before the purge exists anywhere.
     pub until_unix_ms: u64,
 }
 
-/// What a service's GETs are sent with.
+/// The terms with which GETs of a delivery service are forwarded. Its `Debug` text is hashed into versions, as for
+/// [`HostLine`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TermsLine {
     pub accepted_age: Duration,
@@ -81,56 +89,57 @@
     pub timeout: Duration,
 }
 
-fn number(n: f64) -> Value {
-    Value { kind: Some(Of::NumberValue(n)) }
+fn number_value(number: f64) -> Value {
+    Value { kind: Some(ProtoValue::NumberValue(number)) }
 }
 
-fn text(text: String) -> Value {
-    Value { kind: Some(Of::StringValue(text)) }
+fn text_value(text: String) -> Value {
+    Value { kind: Some(ProtoValue::StringValue(text)) }
 }
 
-fn yes(yes: bool) -> Value {
-    Value { kind: Some(Of::BoolValue(yes)) }
+fn bool_value(flag: bool) -> Value {
+    Value { kind: Some(ProtoValue::BoolValue(flag)) }
 }
 
 fn fields<const N: usize>(pairs: [(&str, Value); N]) -> Struct {
     Struct { fields: pairs.into_iter().map(|(name, value)| (name.to_owned(), value)).collect() }
 }
 
-fn told_number(fields: &Struct, name: &str) -> Option<f64> {
+fn number_field(fields: &Struct, name: &str) -> Option<f64> {
     match fields.fields.get(name)?.kind.as_ref()? {
-        Of::NumberValue(n) => Some(*n).filter(|n| n.is_finite() && *n >= 0.0),
+        ProtoValue::NumberValue(number) => {
+            Some(*number).filter(|number| number.is_finite() && *number >= 0.0)
+        }
         _ => None,
     }
 }
 
-fn told_text<'a>(fields: &'a Struct, name: &str) -> Option<&'a str> {
+fn text_field<'a>(fields: &'a Struct, name: &str) -> Option<&'a str> {
     match fields.fields.get(name)?.kind.as_ref()? {
-        Of::StringValue(text) => Some(text),
+        ProtoValue::StringValue(text) => Some(text),
         _ => None,
     }
 }
 
-fn told_flag(fields: &Struct, name: &str) -> Option<bool> {
+fn flag_field(fields: &Struct, name: &str) -> Option<bool> {
     match fields.fields.get(name)?.kind.as_ref()? {
-        Of::BoolValue(yes) => Some(*yes),
+        ProtoValue::BoolValue(flag) => Some(*flag),
         _ => None,
     }
 }
 
-fn span(span: Duration) -> Span {
-    Span { seconds: span.as_secs() as i64, nanos: span.subsec_nanos() as i32 }
-}
-
-pub fn ttl(ttl: Duration) -> Span {
-    span(ttl)
+/// Encodes a duration.
+pub fn encode_duration(duration: Duration) -> ProtoDuration {
+    ProtoDuration { seconds: duration.as_secs() as i64, nanos: duration.subsec_nanos() as i32 }
 }
 
-pub fn any(kind: Kind, body: &[u8]) -> Any {
-    Any { type_url: kind.url().into(), value: body.to_vec() }
+/// Encodes a resource body with its type.
+pub fn encode_any(resource_type: ResourceType, body: &[u8]) -> Any {
+    Any { type_url: resource_type.type_url().into(), value: body.to_vec() }
 }
 
-pub fn address_of(address: SocketAddr) -> core::Address {
+/// Encodes a socket address.
+pub fn encode_address(address: SocketAddr) -> core::Address {
     let socket = core::SocketAddress {
         address: address.ip().to_string(),
         port_specifier: Some(core::socket_address::PortSpecifier::PortValue(address.port().into())),
@@ -139,7 +148,8 @@
     core::Address { address: Some(core::address::Address::SocketAddress(socket)) }
 }
 
-pub fn told_address(address: &core::Address) -> Option<SocketAddr> {
+/// Decodes a socket address. None if it has no IP address or port.
+pub fn parse_address(address: &core::Address) -> Option<SocketAddr> {
     let core::address::Address::SocketAddress(socket) = address.address.as_ref()? else { return None };
     let core::socket_address::PortSpecifier::PortValue(port) = socket.port_specifier.as_ref()? else {
         return None;
@@ -148,67 +158,72 @@
 }
 
 impl HostLine {
+    /// The name of the host resource.
     pub fn resource_name(&self) -> String {
         format!("{}/{}", self.tier.name(), self.name)
     }
 
-    /// All that it says, in a form that is the same wherever it is made.
-    pub fn canonical(&self) -> String {
+    /// The text that is hashed into versions. It is the same on every instance.
+    pub fn version_text(&self) -> String {
         format!("{self:?}")
     }
 
-    pub fn message(&self) -> endpoint::LbEndpoint {
+    /// Encodes the host as an endpoint.
+    pub fn to_endpoint(&self) -> endpoint::LbEndpoint {
         let health = match (self.draining, self.part > 0.0) {
             (true, _) => core::HealthStatus::Draining,
             (false, true) => core::HealthStatus::Healthy,
             (false, false) => core::HealthStatus::Unhealthy,
         };
-        // Those who know ring hashing alone spread keys by this; it is never zero, which the type does not allow.
+        // Proxies that only know ring hashing spread keys by this weight. The message type does not allow zero.
         let weight = (self.points as f64 * self.part).ceil().max(1.0) as u32;
-        let ours = fields([
-            ("host", text(self.name.clone())),
-            ("tier", text(self.tier.name().into())),
-            ("life", number(self.life as f64)),
-            ("mark", text(format!("{:016x}", self.mark))),
-            ("points", number(self.points as f64)),
-            ("part", number(if self.draining { 0.0 } else { self.part })),
-            ("near", yes(self.near)),
-            ("fills", number(self.fills.into())),
+        let own_fields = fields([
+            ("host", text_value(self.name.clone())),
+            ("tier", text_value(self.tier.name().into())),
+            ("life", number_value(self.life as f64)),
+            ("mark", text_value(format!("{:016x}", self.mark))),
+            ("points", number_value(self.points as f64)),
+            ("part", number_value(if self.draining { 0.0 } else { self.part })),
+            ("near", bool_value(self.near)),
+            ("fills", number_value(self.fills.into())),
         ]);
-        let ring = fields([("hash_key", text(format!("{:016x}", self.mark)))]);
-        let metadata = [(OURS.to_owned(), ours), ("envoy.lb".to_owned(), ring)].into();
+        let ring = fields([("hash_key", text_value(format!("{:016x}", self.mark)))]);
+        let metadata = [(METADATA_NAMESPACE.to_owned(), own_fields), ("envoy.lb".to_owned(), ring)].into();
         endpoint::LbEndpoint {
             health_status: health.into(),
             metadata: Some(core::Metadata { filter_metadata: metadata, ..Default::default() }),
             load_balancing_weight: Some(UInt32Value { value: weight }),
             host_identifier: Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint::Endpoint {
-                address: Some(address_of(self.address)),
+                address: Some(encode_address(self.address)),
                 ..Default::default()
             })),
         }
     }
 
-    /// Reads one back; what is wrong with one that is not ours.
-    pub fn read(message: &endpoint::LbEndpoint) -> Result<Self, &'static str> {
-        let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(at)) = &message.host_identifier else {
-            return Err("an endpoint without an address");
+    /// Decodes an endpoint. Fails with what is missing or invalid if it was not made by a control service of this kind.
+    pub fn from_endpoint(message: &endpoint::LbEndpoint) -> Result<Self, &'static str> {
+        let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint)) = &message.host_identifier else {
+            return Err("endpoint has no address");
         };
         let address =
-            at.address.as_ref().and_then(told_address).ok_or("an endpoint without an IP address")?;
-        let metadata = message.metadata.as_ref().and_then(|m| m.filter_metadata.get(OURS));
-        let ours = metadata.ok_or("an endpoint without our metadata")?;
-        let number = |name: &str| told_number(ours, name).ok_or("an endpoint's metadata lacks a number");
-        let text = |name: &str| told_text(ours, name).ok_or("an endpoint's metadata lacks a text");
+            endpoint.address.as_ref().and_then(parse_address).ok_or("endpoint has no IP address")?;
+        let metadata =
+            message.metadata.as_ref().and_then(|metadata| metadata.filter_metadata.get(METADATA_NAMESPACE));
+        let fields = metadata.ok_or("an endpoint without our metadata")?;
+        let number =
+            |name: &str| number_field(fields, name).ok_or("endpoint metadata lacks a required number");
+        let text = |name: &str| text_field(fields, name).ok_or("endpoint metadata lacks a required text");
         Ok(Self {
             name: text("host")?.to_owned(),
             address,
-            tier: Tier::of(text("tier")?).ok_or("an endpoint of no tier")?,
+            tier: Tier::from_name(text("tier")?).ok_or("endpoint has an unknown tier")?,
             life: number("life")? as u64,
             draining: message.health_status == core::HealthStatus::Draining as i32,
-            mark: u64::from_str_radix(text("mark")?, 16).map_err(|_| "an endpoint's mark is no number")?,
+            mark: u64::from_str_radix(text("mark")?, 16)
+                .map_err(|_| "endpoint mark is not a hexadecimal number")?,
             points: (number("points")? as u64).min(1 << 16),
             part: number("part")?.min(1.0),
-            near: told_flag(ours, "near").unwrap_or(true),
+            near: flag_field(fields, "near").unwrap_or(true),
             fills: number("fills")? as u32,
         })
     }
@@ -217,39 +232,44 @@
 fn notice(name: &str, value: Struct) -> Vec<u8> {
     core::TypedExtensionConfig {
         name: name.to_owned(),
-        typed_config: Some(Any { type_url: STRUCT.into(), value: value.encode_to_vec() }),
+        typed_config: Some(Any { type_url: STRUCT_TYPE_URL.into(), value: value.encode_to_vec() }),
     }
     .encode_to_vec()
 }
 
-/// Reads the fields of a notice.
-pub fn read_notice(body: &[u8]) -> Result<(String, Struct), &'static str> {
-    let read = core::TypedExtensionConfig::decode(body).map_err(|_| "a notice that can't be read")?;
-    let held = read.typed_config.filter(|any| any.type_url == STRUCT).ok_or("a notice of an unknown form")?;
-    let fields = Struct::decode(&*held.value).map_err(|_| "a notice whose fields can't be read")?;
-    Ok((read.name, fields))
+/// Decodes a notice into its name and fields.
+pub fn decode_notice(body: &[u8]) -> Result<(String, Struct), &'static str> {
+    let notice = core::TypedExtensionConfig::decode(body).map_err(|_| "notice can't be decoded")?;
+    let config = notice
+        .typed_config
+        .filter(|any| any.type_url == STRUCT_TYPE_URL)
+        .ok_or("notice has an unknown type of content")?;
+    let fields = Struct::decode(&*config.value).map_err(|_| "notice fields can't be decoded")?;
+    Ok((notice.name, fields))
 }
 
 impl PurgeLine {
-    pub fn body(&self, name: &str) -> Vec<u8> {
-        let at = ("at_unix_ms", number(self.at_unix_ms as f64));
-        notice(name, fields([at, ("until_unix_ms", number(self.until_unix_ms as f64))]))
+    /// Encodes it as a notice resource with the given name.
+    pub fn encode_notice(&self, name: &str) -> Vec<u8> {
+        let at = ("at_unix_ms", number_value(self.at_unix_ms as f64));
+        notice(name, fields([at, ("until_unix_ms", number_value(self.until_unix_ms as f64))]))
     }
 
-    pub fn read(fields: &Struct) -> Result<Self, &'static str> {
-        let number = |name: &str| told_number(fields, name).ok_or("a purge lacks a time");
+    /// Decodes the fields of a notice. Fails with what is missing or invalid.
+    pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
+        let number = |name: &str| number_field(fields, name).ok_or("purge notice lacks a time");
         Ok(Self { at_unix_ms: number("at_unix_ms")? as u64, until_unix_ms: number("until_unix_ms")? as u64 })
     }
 }
 
-/// A zone's verdict as dispatchers are told of it, and as they tell what they hold.
+/// The verdict on a zone, as published to dispatchers and as they report which verdict they hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneLine {
+pub struct ZoneNotice {
     pub epoch: u64,
     pub stage: Stage,
     pub part: f64,
     pub sheds: f64,
-    /// When it takes effect.
+    /// When the verdict takes effect.
     pub from_unix_ms: u64,
 }
 
@@ -260,20 +280,24 @@
     (Stage::Returning, "returning"),
 ];
 
-pub fn zone_name(zone: &str) -> String {
+/// The resource name of the verdict on a zone.
+pub fn zone_resource_name(zone: &str) -> String {
     format!("zone/{zone}")
 }
 
-pub fn zone_named(name: &str) -> Option<&str> {
+/// The inverse of [`zone_resource_name`]. None for other resource names.
+pub fn parse_zone_resource_name(name: &str) -> Option<&str> {
     name.strip_prefix("zone/")
 }
 
-impl ZoneLine {
-    pub fn of(verdict: &Verdict, from_unix_ms: u64) -> Self {
+impl ZoneNotice {
+    /// A notice of a verdict that takes effect at the given time.
+    pub fn from_verdict(verdict: &Verdict, from_unix_ms: u64) -> Self {
         let Verdict { epoch, stage, part, sheds, .. } = *verdict;
         Self { epoch, stage, part, sheds, from_unix_ms }
     }
 
+    /// The verdict, without the values that are not published.
     pub fn verdict(&self) -> Verdict {
         let Self { epoch, stage, part, sheds, .. } = *self;
         Verdict { epoch, stage, part, sheds, ..Verdict::default() }
@@ -282,22 +306,25 @@
     fn fields(&self) -> Struct {
         let stage = STAGES.iter().find(|(stage, _)| *stage == self.stage).map_or("serving", |(_, name)| name);
         fields([
-            ("epoch", number(self.epoch as f64)),
-            ("stage", text(stage.into())),
-            ("part", number(self.part)),
-            ("sheds", number(self.sheds)),
-            ("from_unix_ms", number(self.from_unix_ms as f64)),
+            ("epoch", number_value(self.epoch as f64)),
+            ("stage", text_value(stage.into())),
+            ("part", number_value(self.part)),
+            ("sheds", number_value(self.sheds)),
+            ("from_unix_ms", number_value(self.from_unix_ms as f64)),
         ])
     }
 
-    pub fn body(&self, name: &str) -> Vec<u8> {
+    /// Encodes it as a notice resource with the given name.
+    pub fn encode_notice(&self, name: &str) -> Vec<u8> {
         notice(name, self.fields())
     }
 
-    pub fn read(fields: &Struct) -> Result<Self, &'static str> {
-        let number = |name: &str| told_number(fields, name).ok_or("a zone's verdict lacks a number");
-        let stage = told_text(fields, "stage").ok_or("a zone's verdict lacks its stage")?;
-        let stage = STAGES.iter().find(|(_, name)| *name == stage).ok_or("a zone's stage is not known")?;
+    /// Decodes the fields of a notice. Fails with what is missing or invalid.
+    pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
+        let number = |name: &str| number_field(fields, name).ok_or("zone verdict lacks a required number");
+        let stage = text_field(fields, "stage").ok_or("zone verdict lacks its stage")?;
+        let stage =
+            STAGES.iter().find(|(_, name)| *name == stage).ok_or("zone verdict has an unknown stage")?;
         Ok(Self {
             epoch: number("epoch")? as u64,
             stage: stage.0,
@@ -308,69 +335,77 @@
     }
 }
 
-/// A host's name beside its load, where it is reached by other addresses than the list tells.
-pub fn host_said(name: &str) -> Struct {
-    fields([("host", text(name.to_owned()))])
+/// Metadata with the host name in a load report, for hosts reached by other addresses than the list has.
+pub fn host_metadata(name: &str) -> Struct {
+    fields([("host", text_value(name.to_owned()))])
 }
 
-pub fn host_told(metadata: &Struct) -> Option<&str> {
-    told_text(metadata, "host")
+/// The inverse of [`host_metadata`].
+pub fn host_name_from_metadata(metadata: &Struct) -> Option<&str> {
+    text_field(metadata, "host")
 }
 
-/// GETs that a dispatcher took since its last report, by its node's metadata.
-pub fn taken(metadata: &Struct) -> u64 {
-    told_number(metadata, "taken").unwrap_or(0.0) as u64
+/// The number of GETs that a dispatcher took since its last report, from the metadata of its node.
+pub fn gets_taken(metadata: &Struct) -> u64 {
+    number_field(metadata, "taken").unwrap_or(0.0) as u64
 }
 
-/// What a dispatcher holds of zones and how many GETs it took, as a node's metadata.
-pub fn zones_held<'a>(held: impl Iterator<Item = (&'a str, ZoneLine)>, taken: u64) -> Struct {
-    let fields =
-        held.map(|(zone, line)| (zone_name(zone), Value { kind: Some(Of::StructValue(line.fields())) }));
-    Struct { fields: fields.chain([("taken".to_owned(), number(taken as f64))]).collect() }
+/// Node metadata with the zone verdicts that a dispatcher holds and the number of GETs that it took.
+pub fn held_verdicts_metadata<'a>(
+    verdicts: impl Iterator<Item = (&'a str, ZoneNotice)>,
+    gets_taken: u64,
+) -> Struct {
+    let fields = verdicts.map(|(zone, notice)| {
+        (zone_resource_name(zone), Value { kind: Some(ProtoValue::StructValue(notice.fields())) })
+    });
+    Struct { fields: fields.chain([("taken".to_owned(), number_value(gets_taken as f64))]).collect() }
 }
 
-pub fn zone_held(metadata: &Struct, zone: &str) -> Option<ZoneLine> {
-    match metadata.fields.get(&zone_name(zone))?.kind.as_ref()? {
-        Of::StructValue(fields) => ZoneLine::read(fields).ok(),
+/// The verdict on a zone that a dispatcher holds, from the metadata of its node.
+pub fn held_verdict(metadata: &Struct, zone: &str) -> Option<ZoneNotice> {
+    match metadata.fields.get(&zone_resource_name(zone))?.kind.as_ref()? {
+        ProtoValue::StructValue(fields) => ZoneNotice::from_fields(fields).ok(),
         _ => None,
     }
 }
 
 impl TermsLine {
-    pub fn body(&self, name: &str) -> Vec<u8> {
+    /// Encodes it as a notice resource with the given name.
+    pub fn encode_notice(&self, name: &str) -> Vec<u8> {
         notice(
             name,
             fields([
-                ("accepted_age_ms", number(self.accepted_age.as_secs_f64() * 1e3)),
-                ("renew", yes(self.renew)),
-                ("again", yes(self.again)),
-                ("passed_on", yes(self.passed_on)),
-                ("spared", yes(self.spared)),
-                ("forwards", number(self.forwards.into())),
-                ("timeout_ms", number(self.timeout.as_secs_f64() * 1e3)),
+                ("accepted_age_ms", number_value(self.accepted_age.as_secs_f64() * 1e3)),
+                ("renew", bool_value(self.renew)),
+                ("again", bool_value(self.again)),
+                ("passed_on", bool_value(self.passed_on)),
+                ("spared", bool_value(self.spared)),
+                ("forwards", number_value(self.forwards.into())),
+                ("timeout_ms", number_value(self.timeout.as_secs_f64() * 1e3)),
             ]),
         )
     }
 
-    pub fn read(fields: &Struct) -> Result<Self, &'static str> {
-        let span = |name: &str| {
-            let ms = told_number(fields, name).ok_or("a service's terms lack a time")?;
-            Duration::try_from_secs_f64(ms / 1e3).map_err(|_| "a service's terms have no time")
+    /// Decodes the fields of a notice. Fails with what is missing or invalid.
+    pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
+        let duration = |name: &str| {
+            let ms = number_field(fields, name).ok_or("service terms lack a duration")?;
+            Duration::try_from_secs_f64(ms / 1e3).map_err(|_| "service terms have an invalid duration")
         };
-        let flag = |name: &str| told_flag(fields, name).ok_or("a service's terms lack a flag");
+        let flag = |name: &str| flag_field(fields, name).ok_or("service terms lack a flag");
         Ok(Self {
-            accepted_age: span("accepted_age_ms")?,
+            accepted_age: duration("accepted_age_ms")?,
             renew: flag("renew")?,
             again: flag("again")?,
             passed_on: flag("passed_on")?,
             spared: flag("spared")?,
-            forwards: told_number(fields, "forwards").ok_or("a service's terms lack a number")? as u32,
-            timeout: span("timeout_ms")?,
+            forwards: number_field(fields, "forwards").ok_or("service terms lack a number")? as u32,
+            timeout: duration("timeout_ms")?,
         })
     }
 }
 
-fn ads() -> core::ConfigSource {
+fn ads_config_source() -> core::ConfigSource {
     core::ConfigSource {
         resource_api_version: core::ApiVersion::V3.into(),
         config_source_specifier: Some(core::config_source::ConfigSourceSpecifier::Ads(Default::default())),
@@ -378,31 +413,32 @@
     }
 }
 
-/// A tier as a cluster; `by_host`: of hosts that are resources of their own.
-pub fn cluster_body(name: &str, connect: Duration) -> Vec<u8> {
+/// Encodes a tier as a cluster.
+pub fn cluster_body(name: &str, connect_timeout: Duration) -> Vec<u8> {
     cluster::Cluster {
         name: name.to_owned(),
         cluster_discovery_type: Some(cluster::cluster::ClusterDiscoveryType::Type(
             cluster::cluster::DiscoveryType::Eds.into(),
         )),
         eds_cluster_config: Some(cluster::cluster::EdsClusterConfig {
-            eds_config: Some(ads()),
+            eds_config: Some(ads_config_source()),
             service_name: name.to_owned(),
         }),
-        connect_timeout: Some(span(connect)),
+        connect_timeout: Some(encode_duration(connect_timeout)),
         lb_policy: cluster::cluster::LbPolicy::RingHash.into(),
         ..Default::default()
     }
     .encode_to_vec()
 }
 
-/// The hosts of a tier; or, for those who take hosts one by one, where they are.
+/// Encodes the assignment of a tier with its hosts. For [`BY_HOST_CLUSTER`] it refers to the collection of host resources
+/// instead.
 pub fn assignment_body(name: &str, lines: &[&HostLine]) -> Vec<u8> {
-    let locality = if name == BY_HOST {
+    let locality = if name == BY_HOST_CLUSTER {
         endpoint::LocalityLbEndpoints {
             lb_config: Some(endpoint::locality_lb_endpoints::LbConfig::LedsClusterLocalityConfig(
                 endpoint::LedsClusterLocalityConfig {
-                    leds_config: Some(ads()),
+                    leds_config: Some(ads_config_source()),
                     leds_collection_name: "caches/*".into(),
                 },
             )),
@@ -410,7 +446,7 @@
         }
     } else {
         endpoint::LocalityLbEndpoints {
-            lb_endpoints: lines.iter().map(|line| line.message()).collect(),
+            lb_endpoints: lines.iter().map(|line| line.to_endpoint()).collect(),
             ..Default::default()
         }
     };
@@ -422,21 +458,21 @@
     .encode_to_vec()
 }
 
-/// A delivery service as a route.
+/// A delivery service as an entry of the route table.
 pub struct RouteLine<'a> {
     pub service: &'a str,
-    pub again: bool,
+    pub is_repeatable: bool,
     pub timeout: Duration,
-    pub forwards: u32,
+    pub max_forwards: u32,
 }
 
-/// Answers that prove that a GET never ran: a miss where nothing is filled, a full host, one that was over already.
-const NOT_RUN: [u32; 3] = [404, 503, 504];
-/// Those that a run may have caused.
-const MAY_HAVE_RUN: [u32; 1] = [500];
+/// Status codes that prove that a GET never ran: a miss where nothing is filled, a full host, a GET that was already over.
+const STATUS_NOT_RUN: [u32; 3] = [404, 503, 504];
+/// Status codes of answers where the GET may have run.
+const STATUS_MAY_HAVE_RUN: [u32; 1] = [500];
 
-/// The route table: where each service's GETs go, and after which ends they may go again. A service whose GETs have an
-/// effect gets no retry but after an end that proves that nothing ran.
+/// Encodes the route table: the destination of the GETs of each service, and the outcomes after which they may be retried. A
+/// service whose GETs have an effect is retried only after an outcome that proves that nothing ran.
 pub fn routes_body(lines: &[RouteLine<'_>]) -> Vec<u8> {
     let header = |name: &str| route::route_action::HashPolicy {
         policy_specifier: Some(route::route_action::hash_policy::PolicySpecifier::Header(
@@ -445,18 +481,22 @@
         ..Default::default()
     };
     let routes = lines.iter().map(|line| {
-        let proven = "connect-failure,refused-stream,retriable-status-codes";
-        let codes = NOT_RUN.iter().chain(MAY_HAVE_RUN.iter().filter(|_| line.again));
+        let not_run_conditions = "connect-failure,refused-stream,retriable-status-codes";
+        let codes = STATUS_NOT_RUN.iter().chain(STATUS_MAY_HAVE_RUN.iter().filter(|_| line.is_repeatable));
         let retry = route::RetryPolicy {
-            retry_on: if line.again { format!("{proven},reset") } else { proven.to_owned() },
-            num_retries: Some(UInt32Value { value: line.forwards.saturating_sub(1) }),
+            retry_on: if line.is_repeatable {
+                format!("{not_run_conditions},reset")
+            } else {
+                not_run_conditions.to_owned()
+            },
+            num_retries: Some(UInt32Value { value: line.max_forwards.saturating_sub(1) }),
             retriable_status_codes: codes.copied().collect(),
             ..Default::default()
         };
         let action = route::RouteAction {
             cluster_specifier: Some(route::route_action::ClusterSpecifier::Cluster("caches".into())),
             hash_policy: vec![header("resource-key"), header("x-chunk")],
-            timeout: Some(span(line.timeout)),
+            timeout: Some(encode_duration(line.timeout)),
             retry_policy: Some(retry),
             ..Default::default()
         };
@@ -469,9 +509,9 @@
         }
     });
     route::RouteConfiguration {
-        name: ROUTES.into(),
+        name: ROUTE_TABLE.into(),
         virtual_hosts: vec![route::VirtualHost {
-            name: ROUTES.into(),
+            name: ROUTE_TABLE.into(),
             domains: vec!["*".into()],
             routes: routes.collect(),
             ..Default::default()
--- a/crates/follow/src/stream.rs
+++ b/crates/follow/src/stream.rs
@@ -8,10 +8,10 @@
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::load_stats::v3::load_reporting_service_client::LoadReportingServiceClient;
-use myrtlegauge_control::follower::written_at;
-use myrtlegauge_control::inbound::Told;
-use myrtlegauge_control::messages::{self, BY_HOST, ZoneLine};
-use myrtlegauge_control::shelf::Kind;
+use myrtlegauge_control::follower::nonce_unix_ms;
+use myrtlegauge_control::messages::{self, BY_HOST_CLUSTER, ZoneNotice};
+use myrtlegauge_control::resource_cache::ResourceType;
+use myrtlegauge_control::session::Response;
 use myrtlegauge_dispatcher::routing::{HostEvidence, ZoneReport, ZoneUpdate};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -107,11 +107,13 @@
     let describe = |status: tonic::Status| status.to_string();
     let mut client = AggregatedDiscoveryServiceClient::new(connect(service).await?);
     let (request_sender, requests) = mpsc::channel(8);
-    let zone_names = settings.zones.iter().map(|zone| messages::zone_name(zone)).collect();
-    for (kind, names) in [(Kind::Notice, zone_names), (Kind::Assignment, vec![BY_HOST.to_owned()])] {
+    let zone_names = settings.zones.iter().map(|zone| messages::zone_resource_name(zone)).collect();
+    for (resource_type, names) in
+        [(ResourceType::Notice, zone_names), (ResourceType::Assignment, vec![BY_HOST_CLUSTER.to_owned()])]
+    {
         let request = DeltaDiscoveryRequest {
             node: Some(Node { id: settings.name.clone(), ..Default::default() }),
-            type_url: kind.url().into(),
+            type_url: resource_type.type_url().into(),
             resource_names_subscribe: names,
             ..Default::default()
         };
@@ -122,9 +124,11 @@
     let (mut responses, mut received_zones) = (responses.into_inner(), BTreeSet::new());
     while let Some(response) = responses.message().await.map_err(describe)? {
         let (nonce, url) = (response.nonce.clone(), response.type_url.clone());
-        let update = Told::from(response);
+        let response = Response::from(response);
         let mut rejection = None;
-        for resource in update.resources.iter().filter(|_| update.kind == Some(Kind::Notice)) {
+        for resource in
+            response.resources.iter().filter(|_| response.resource_type == Some(ResourceType::Notice))
+        {
             let Some(body) = &resource.body else { continue };
             match read_verdict(body) {
                 Ok((zone, line)) => {
@@ -138,8 +142,8 @@
         }
         // A lease covers the verdicts that were sent before it. It counts only once the verdicts on all zones were received.
         let has_all_zones = received_zones.len() == settings.zones.len();
-        let ttl = update.resources.iter().filter_map(|resource| resource.ttl).max();
-        if let (Some(ttl), Some(written_unix_ms), true) = (ttl, written_at(&nonce), has_all_zones) {
+        let ttl = response.resources.iter().filter_map(|resource| resource.ttl).max();
+        if let (Some(ttl), Some(written_unix_ms), true) = (ttl, nonce_unix_ms(&nonce), has_all_zones) {
             let age = Duration::from_millis(unix_ms().saturating_sub(written_unix_ms));
             let remaining = ttl.saturating_sub(age);
             news.send(ZoneUpdate::Lease(remaining)).map_err(|_| "the dispatcher is shutting down")?;
@@ -161,10 +165,10 @@
 }
 
 /// The zone and the verdict of a notice.
-fn read_verdict(body: &[u8]) -> Result<(String, ZoneLine), &'static str> {
-    let (name, fields) = messages::read_notice(body)?;
-    let zone = messages::zone_named(&name).ok_or("the notice's name is not that of a zone")?;
-    Ok((zone.to_owned(), ZoneLine::read(&fields)?))
+fn read_verdict(body: &[u8]) -> Result<(String, ZoneNotice), &'static str> {
+    let (name, fields) = messages::decode_notice(body)?;
+    let zone = messages::parse_zone_resource_name(&name).ok_or("the notice's name is not that of a zone")?;
+    Ok((zone.to_owned(), ZoneNotice::from_fields(&fields)?))
 }
 
 /// Runs one stream of evidence to its end.
@@ -194,10 +198,13 @@
 
 /// This dispatcher as a node, with the verdicts that it holds.
 fn node(settings: &StreamSettings, report: &ZoneReport) -> Node {
-    let held = report.held_verdicts.iter().map(|(zone, verdict)| (zone.as_str(), ZoneLine::of(verdict, 0)));
+    let held = report
+        .held_verdicts
+        .iter()
+        .map(|(zone, verdict)| (zone.as_str(), ZoneNotice::from_verdict(verdict, 0)));
     Node {
         id: settings.name.clone(),
-        metadata: Some(messages::zones_held(held, report.gets_taken)),
+        metadata: Some(messages::held_verdicts_metadata(held, report.gets_taken)),
         ..Default::default()
     }
 }
@@ -216,8 +223,8 @@
                 Some(metric(format!("fills/{}", settings.services.get(ds)?), *all, *bad))
             });
         endpoint::UpstreamEndpointStats {
-            address: Some(messages::address_of(*address)),
-            metadata: Some(messages::host_said(name)),
+            address: Some(messages::encode_address(*address)),
+            metadata: Some(messages::host_metadata(name)),
             total_successful_requests: *returned,
             total_error_requests: *errored,
             load_metric_stats: std::iter::once(metric("late".into(), *late, 0)).chain(fills).collect(),
--- a/crates/zones/src/controller.rs
+++ b/crates/zones/src/controller.rs
@@ -155,7 +155,7 @@
 }
 
 /// The verdicts on all zones, with the evidence of the members: the dispatchers that report.
-pub struct ZoneController {
+pub struct EvacuationController {
     policy: ZonePolicy,
     pub zones: Vec<Zone>,
     epoch: u64,
@@ -175,7 +175,7 @@
     shedding: ShedController,
 }
 
-impl ZoneController {
+impl EvacuationController {
     /// All zones, as names with capacities, serve. No verdict is issued before the members' held verdicts are learned.
     pub fn new(policy: ZonePolicy, zones: &[(String, f64)], now: Duration) -> Self {
         let zone = |(name, capacity): &(String, f64)| Zone {
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod shedding;
 pub mod votes;
 
-pub use controller::{Order, Stage, Verdict, Why, ZoneController, ZonePolicy};
+pub use controller::{EvacuationController, Order, Stage, Verdict, Why, ZonePolicy};
 pub use held_verdicts::HeldVerdicts;
 pub use local_rule::LocalRule;
 pub use shedding::ShedController;
--- a/crates/zones/tests/generated.rs
+++ b/crates/zones/tests/generated.rs
@@ -2,7 +2,7 @@
 //! off, the control service restarts. The invariants hold on every schedule. A schedule of its own shows that each one is
 //! needed.
 
-use myrtlegauge_zones::{HostEvidence, Order, Stage, Verdict, Why, ZoneController, ZonePolicy};
+use myrtlegauge_zones::{EvacuationController, HostEvidence, Order, Stage, Verdict, Why, ZonePolicy};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
 }
 
 struct World {
-    controller: ZoneController,
+    controller: EvacuationController,
     health: Vec<Health>,
     /// How many members are cut off from each zone.
     cut_off: Vec<usize>,
@@ -62,7 +62,7 @@
     fn new(zones: usize, false_reporters: usize, capacity: f64) -> Self {
         let now = Duration::from_secs(100);
         Self {
-            controller: ZoneController::new(policy(), &named_zones(zones, capacity), now),
+            controller: EvacuationController::new(policy(), &named_zones(zones, capacity), now),
             health: vec![Health::Well; zones],
             cut_off: vec![0; zones],
             held: vec![Verdict::default(); zones],
@@ -154,7 +154,8 @@
             Event::CutOff(zone, count) => self.cut_off[zone % zones] = count,
             Event::Order(zone, order) => self.controller.set_order(zone % zones, order, self.now),
             Event::ServiceRestart => {
-                self.controller = ZoneController::new(policy(), &named_zones(zones, self.capacity), self.now);
+                self.controller =
+                    EvacuationController::new(policy(), &named_zones(zones, self.capacity), self.now);
             }
         }
     }
