--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -36,7 +36,7 @@
             ended(myrtlegauge_follow::run(file, &told))
         }
         Command::Replica { order: Some(ReplicaOrder::Status { address, patience_ms }), .. } => {
-            let status = myrtlegauge_replica::status::ask(address, Duration::from_millis(patience_ms));
+            let status = myrtlegauge_replica::status::fetch(address, Duration::from_millis(patience_ms));
             ended(status.map(|status| print!("{}", status.print())))
         }
         Command::Replica { order: None, file, log_form } => replica(file.as_deref(), log_form),
--- a/crates/cli/tests/replicas.rs
+++ b/crates/cli/tests/replicas.rs
@@ -188,7 +188,7 @@
     let end = Instant::now() + PATIENCE;
     loop {
         // It may not listen yet.
-        let status = status::ask(at, PATIENCE);
+        let status = status::fetch(at, PATIENCE);
         if status.as_ref().is_ok_and(&wanted) {
             return;
         }
@@ -201,7 +201,7 @@
 fn until_in_force(at: SocketAddr, object: &str) -> Vec<PurgeState> {
     let (end, mut seen) = (Instant::now() + PATIENCE, Vec::new());
     loop {
-        let status = status::ask(at, PATIENCE).expect("a status");
+        let status = status::fetch(at, PATIENCE).expect("a status");
         match purge_state(&status, object) {
             Some(PurgeState::InForce { .. }) => return seen,
             Some(state) => seen.push(state),
--- a/crates/lab/src/capacity/in_force.rs
+++ b/crates/lab/src/capacity/in_force.rs
@@ -131,7 +131,7 @@
 
 fn ask(at: SocketAddr, seen: &Mutex<Seen>) {
     let asked = Instant::now();
-    let answer = status::ask(at, STATUS_PATIENCE);
+    let answer = status::fetch(at, STATUS_PATIENCE);
     let answered_in = asked.elapsed();
     let mut seen = locked(seen);
     match answer {
--- a/crates/lab/src/capacity/replicas.rs
+++ b/crates/lab/src/capacity/replicas.rs
@@ -119,7 +119,7 @@
 
     fn statuses(&self) -> Vec<Option<Status>> {
         let shown = |process: &Service| {
-            process.id().and_then(|_| status::ask(process.address(), STATUS_PATIENCE).ok())
+            process.id().and_then(|_| status::fetch(process.address(), STATUS_PATIENCE).ok())
         };
         self.processes.iter().map(shown).collect()
     }
--- a/crates/lab/src/replication/fleet.rs
+++ b/crates/lab/src/replication/fleet.rs
@@ -168,7 +168,7 @@
             let address = replica.address;
             std::thread::spawn(move || {
                 while !is_over.load(Ordering::Relaxed) {
-                    if let Ok(status) = status::ask(address, STATUS_PATIENCE) {
+                    if let Ok(status) = status::fetch(address, STATUS_PATIENCE) {
                         oracle.status_told(&status);
                     }
                     std::thread::sleep(STATUS_EVERY);
@@ -198,7 +198,7 @@
 }
 
 async fn ask(at: SocketAddr) -> Option<Status> {
-    let asked = tokio::task::spawn_blocking(move || status::ask(at, STATUS_PATIENCE).ok());
+    let asked = tokio::task::spawn_blocking(move || status::fetch(at, STATUS_PATIENCE).ok());
     asked.await.ok().flatten()
 }
 
--- a/crates/lab/src/replication/replica_program.rs
+++ b/crates/lab/src/replication/replica_program.rs
@@ -50,8 +50,8 @@
     published.map_err(|e| e.error)?;
     std::thread::spawn(move || read_records(&records));
     loop {
-        turns.dispatch(service.patience(), &mut service)?;
-        service.turn();
+        turns.dispatch(service.poll_timeout(), &mut service)?;
+        service.process_events();
     }
 }
 
--- a/crates/replica/src/errors.rs
+++ b/crates/replica/src/errors.rs
@@ -1,121 +1,123 @@
-//! What can be wrong with the program, with a request to it, and with an answer of its status.
+//! Errors of the replica program, of requests to it, and of fetching its status.
 
 use myrtlegauge_replication::{ConfigurationError, PollError};
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a replica does not run.
+/// Reasons why a replica cannot start or stops running.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
-    /// The operator file has no form `replica`.
-    #[error("the file tells of no replica: add the form (replica ...)")]
+    /// The operator file has no `replica` form.
+    #[error("the operator file configures no replica: add a form (replica ...)")]
     NoReplica,
-    /// Its address is in use, or not of this machine.
-    #[error("can't listen on {at}: {why}")]
+    /// The listening address is in use or does not belong to this machine.
+    #[error("cannot listen on {address}: {cause}")]
     Listen {
-        /// Where it should listen.
-        at: SocketAddr,
-        /// What the system says.
-        why: io::Error,
+        /// The configured listening address.
+        address: SocketAddr,
+        /// The error of the operating system.
+        cause: io::Error,
     },
-    /// The event loop, or one of its sources, fails.
-    #[error("{what}: {why}")]
+    /// The event loop or one of its event sources failed.
+    #[error("{operation}: {cause}")]
     Loop {
-        /// What was tried.
-        what: &'static str,
-        /// What the system says.
-        why: calloop::Error,
+        /// The operation that failed.
+        operation: &'static str,
+        /// The error of the event loop.
+        cause: calloop::Error,
     },
-    /// What the file tells can't work.
+    /// The settings of the operator file are unusable.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
 }
 
-/// A request that is not answered as asked; its text is the body of the answer.
+/// Reasons to refuse a request; the text of the error is the body of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The head is longer than any poll's.
-    #[error("a request head over {most} bytes: send GET /changes?since=N&timeout=MS with few headers")]
-    TooLong {
-        /// The bound.
-        most: usize,
+    /// The head is longer than that of any poll.
+    #[error(
+        "request head over {max_bytes} bytes or with too many headers: send GET /changes?since=N&timeout=MS with few headers"
+    )]
+    HeadTooLong {
+        /// The maximum size of a head.
+        max_bytes: usize,
     },
-    /// Not HTTP/1.1.
+    /// The request is not HTTP/1.1.
     #[error("not an HTTP/1.1 request: send GET /changes?since=N&timeout=MS HTTP/1.1")]
     NotHttp,
-    /// Another method than GET.
-    #[error("method {0} is not served: use GET")]
+    /// The method is not GET.
+    #[error("method {0} is not supported: use GET")]
     Method(String),
-    /// A body, which a poll does not have.
-    #[error("a request with a body: a poll is a GET whose query says all")]
+    /// The request has a body, which no request to a replica has.
+    #[error("unexpected request body: send a GET request with all parameters in its query")]
     Body,
-    /// Another path.
-    #[error("path {0} is not served: ask for /changes?since=N&timeout=MS or /status")]
+    /// Nothing is served under the path.
+    #[error("path {0} not found: request /changes?since=N&timeout=MS or /status")]
     Path(String),
-    /// It was begun and did not become whole.
-    #[error("the request did not become whole in time: send its head at once")]
-    Slow,
-    /// The query of a poll that can't be taken.
+    /// The request was started and not completed in time.
+    #[error("timed out waiting for the rest of the request head: send the whole head at once")]
+    Timeout,
+    /// The query of the poll is invalid or the poll cannot be accepted.
     #[error(transparent)]
     Poll(#[from] PollError),
 }
 
 impl RequestError {
-    /// The HTTP status that it is answered by.
+    /// The HTTP status of the response.
     pub fn status(&self) -> http_status::Status {
         match self {
             Self::Path(_) => http_status::NOT_FOUND,
             Self::Method(_) => http_status::METHOD_NOT_ALLOWED,
-            Self::Slow => http_status::REQUEST_TIMEOUT,
-            Self::TooLong { .. } => http_status::HEADERS_TOO_LARGE,
+            Self::Timeout => http_status::REQUEST_TIMEOUT,
+            Self::HeadTooLong { .. } => http_status::HEADERS_TOO_LARGE,
             Self::Poll(PollError::TooManyMembers { .. }) => http_status::UNAVAILABLE,
             Self::NotHttp | Self::Body | Self::Poll(_) => http_status::BAD_REQUEST,
         }
     }
 }
 
-/// The HTTP statuses that are used, as their status lines have them.
+/// HTTP statuses in the form of the status line.
 pub mod http_status {
-    /// A code with its reason phrase.
+    /// A status code with its reason phrase.
     pub type Status = &'static str;
 
-    /// The answer to a request that was taken.
+    /// The request was accepted.
     pub const OK: Status = "200 OK";
-    /// What was sent can't be taken as it is.
+    /// The request is invalid.
     pub const BAD_REQUEST: Status = "400 Bad Request";
     /// Nothing is served under the path.
     pub const NOT_FOUND: Status = "404 Not Found";
-    /// Only GET is served.
+    /// Only GET is supported.
     pub const METHOD_NOT_ALLOWED: Status = "405 Method Not Allowed";
-    /// The request did not become whole.
+    /// The request was not completed in time.
     pub const REQUEST_TIMEOUT: Status = "408 Request Timeout";
-    /// The head is too long.
+    /// The request head is too long.
     pub const HEADERS_TOO_LARGE: Status = "431 Request Header Fields Too Large";
-    /// No room for one more member.
+    /// No further member can be accepted.
     pub const UNAVAILABLE: Status = "503 Service Unavailable";
 }
 
-/// Why there is no status to show.
+/// Reasons why the status of a replica cannot be fetched.
 #[derive(Debug, Error)]
 pub enum StatusError {
-    /// No connection, or it broke.
-    #[error("replica at {at}: {why}; look whether it runs there")]
+    /// The connection could not be opened or failed.
+    #[error("cannot fetch the status of the replica at {address}: {cause}; check that it is running there")]
     Connection {
-        /// The address that was asked.
-        at: SocketAddr,
-        /// What the system says.
-        why: io::Error,
+        /// The address of the replica.
+        address: SocketAddr,
+        /// The error of the operating system.
+        cause: io::Error,
     },
-    /// It closed the connection before its answer was whole.
-    #[error("the answer of {0} is not whole: look whether a replica listens there")]
-    Unfinished(SocketAddr),
-    /// The answer is none of a replica.
-    #[error("the answer of {at} is not a replica's status: {why}")]
-    Unreadable {
-        /// The address that was asked.
-        at: SocketAddr,
-        /// What is wrong with it.
-        why: String,
+    /// The connection was closed before the response was complete.
+    #[error("the response from {0} is truncated: check that a replica listens there")]
+    Truncated(SocketAddr),
+    /// The response is not the status of a replica.
+    #[error("the response from {address} is not the status of a replica: {cause}")]
+    Invalid {
+        /// The address of the replica.
+        address: SocketAddr,
+        /// What is wrong with the response.
+        cause: String,
     },
 }
--- a/crates/replica/src/http.rs
+++ b/crates/replica/src/http.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 
 /// Bytes of a request's head: a poll's query takes a few hundred.
-pub const HEAD_MOST: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 const HEADERS_MOST: usize = 32;
 const POLL_PATH: &str = "/changes";
 const STATUS_PATH: &str = "/status";
@@ -26,10 +26,10 @@
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(inbound) {
-        Ok(httparse::Status::Complete(head)) if head <= HEAD_MOST => head,
-        Ok(httparse::Status::Partial) if inbound.len() <= HEAD_MOST => return Ok(None),
+        Ok(httparse::Status::Complete(head)) if head <= MAX_HEAD_BYTES => head,
+        Ok(httparse::Status::Partial) if inbound.len() <= MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(RequestError::TooLong { most: HEAD_MOST });
+            return Err(RequestError::HeadTooLong { max_bytes: MAX_HEAD_BYTES });
         }
         Err(_) => return Err(RequestError::NotHttp),
     };
--- a/crates/replica/src/pollers.rs
+++ b/crates/replica/src/pollers.rs
@@ -1,7 +1,7 @@
 //! The connections of pollers: taken in, read, answered, and closed in steps. Each has one request in hand at most.
 
 use crate::errors::RequestError;
-use crate::http::{self, HEAD_MOST, Request};
+use crate::http::{self, MAX_HEAD_BYTES, Request};
 use crate::service::{Service, Who};
 use bytes::Bytes;
 use myrtlegauge_replication::PollId;
@@ -149,8 +149,8 @@
         let Some(poller) = self.connections.get_mut(&key) else { return Ok(None) };
         match poller.stage {
             Stage::Reading => poller.connection.parse(http::next_request),
-            Stage::Waiting { .. } if poller.connection.unparsed_bytes() > HEAD_MOST => {
-                Err(RequestError::TooLong { most: HEAD_MOST })
+            Stage::Waiting { .. } if poller.connection.unparsed_bytes() > MAX_HEAD_BYTES => {
+                Err(RequestError::HeadTooLong { max_bytes: MAX_HEAD_BYTES })
             }
             Stage::Waiting { .. } => Ok(None),
         }
@@ -227,7 +227,7 @@
         let mut cancelled = Vec::new();
         for (key, stall) in stalled {
             cancelled.extend(match stall {
-                Stall::HalfRequest => self.refuse(key, &RequestError::Slow, shared, now),
+                Stall::HalfRequest => self.refuse(key, &RequestError::Timeout, shared, now),
                 Stall::Idle | Stall::Replaced | Stall::Deaf => self.remove(key).and_then(|(_, poll)| poll),
             });
         }
--- a/crates/replica/src/service.rs
+++ b/crates/replica/src/service.rs
@@ -109,25 +109,26 @@
 /// A file without a replica in it, terms that can't work, an address that can't be listened on.
 pub fn run(file: &OperatorFile) -> Result<(), ReplicaError> {
     let terms = file.replica.as_ref().ok_or(ReplicaError::NoReplica)?;
-    let failed = |what: &'static str| move |why: calloop::Error| ReplicaError::Loop { what, why };
-    let mut turns = EventLoop::<Service>::try_new().map_err(failed("no event loop"))?;
+    let failed =
+        |operation: &'static str| move |cause: calloop::Error| ReplicaError::Loop { operation, cause };
+    let mut turns = EventLoop::<Service>::try_new().map_err(failed("cannot create the event loop"))?;
     watch_signals(&turns.handle())?;
     let mut service = Service::start(turns.handle(), terms)?;
-    let address = service.address().map_err(|why| ReplicaError::Listen { at: terms.listen, why })?;
+    let address = service.address().map_err(|cause| ReplicaError::Listen { address: terms.listen, cause })?;
     log::info!(log = service.log.0.as_str(); "replication: {} listens on {address}", service.name);
     while !service.is_done {
-        turns.dispatch(service.patience(), &mut service).map_err(failed("the event loop"))?;
-        service.turn();
+        turns.dispatch(service.poll_timeout(), &mut service).map_err(failed("the event loop failed"))?;
+        service.process_events();
     }
-    service.report();
+    service.log_report();
     Ok(())
 }
 
 fn watch_signals(hub: &LoopHandle<'static, Service>) -> Result<(), ReplicaError> {
-    let failed = |why: calloop::Error| ReplicaError::Loop { what: "signals can't be watched", why };
+    let failed = |cause: calloop::Error| ReplicaError::Loop { operation: "cannot watch signals", cause };
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1]).map_err(failed)?;
     let watched = hub.insert_source(signals, |signal, _, service| match signal.signal() {
-        Signal::SIGUSR1 => service.report(),
+        Signal::SIGUSR1 => service.log_report(),
         _ => service.is_done = true,
     });
     watched.map(drop).map_err(|e| failed(e.error))
@@ -158,7 +159,7 @@
         let core = Replica::new(config, now)?;
         let accounts = Rc::new(ResourceUsage::default());
         let listener = Listener::bind(&hub, terms.listen, Who::Listener, &accounts)
-            .map_err(|why| ReplicaError::Listen { at: terms.listen, why })?;
+            .map_err(|cause| ReplicaError::Listen { address: terms.listen, cause })?;
         Ok(Self {
             name,
             log,
@@ -201,7 +202,7 @@
     }
 
     /// How long the loop may sleep.
-    pub fn patience(&self) -> Duration {
+    pub fn poll_timeout(&self) -> Duration {
         if !self.ready.is_empty() {
             return Duration::ZERO;
         }
@@ -212,7 +213,7 @@
     }
 
     /// All that came since the last turn, and all that may go out.
-    pub fn turn(&mut self) {
+    pub fn process_events(&mut self) {
         self.now = self.clock.now();
         self.read();
         self.follow_source();
@@ -405,18 +406,18 @@
         if source.began_anew(&answer) {
             self.counters.source_restarts += 1;
             source.begin_anew(self.now);
-            return log::warn!(last = answer.last; "replication: the change log began anew: asked for all");
+            return log::warn!(last = answer.last_seq; "replication: the change log began anew: asked for all");
         }
         let before = source.feed.last_seq;
         for event in &answer.results {
-            match source.feed.accept(event.number, self.now) {
+            match source.feed.accept(event.seq, self.now) {
                 SequenceCheck::Duplicate => continue,
                 SequenceCheck::GapRetried(last) => {
-                    let what = format_args!("the change log went from {last} to {}", event.number);
+                    let what = format_args!("the change log went from {last} to {}", event.seq);
                     return self.faults.warn(self.now, &what);
                 }
                 SequenceCheck::GapAccepted(_) | SequenceCheck::Next => {
-                    self.take_event(source, event, answer.last)
+                    self.take_event(source, event, answer.last_seq)
                 }
             }
         }
@@ -428,11 +429,11 @@
     fn take_event(&mut self, source: &mut Source, event: &SourceEvent, last: u64) {
         source.last_event = Some(event.clone());
         self.counters.source_events += 1;
-        let (records, errors) = source.list.take(event);
+        let (records, errors) = source.list.apply(event);
         errors.iter().for_each(|error| self.faults.warn(self.now, error));
         let Some(known) = self.publish_all(records) else { return };
-        if source.list.is_behind(known, last) {
-            let (records, _) = source.list.take(event);
+        if source.list.rebase_if_restarted(known, last) {
+            let (records, _) = source.list.apply(event);
             self.publish_all(records);
         }
     }
@@ -464,7 +465,7 @@
     }
 
     /// Logs what was done and where the log stands.
-    pub fn report(&mut self) {
+    pub fn log_report(&mut self) {
         self.now = self.clock.now();
         let status = self.status();
         let counters = self.counters;
@@ -502,14 +503,14 @@
     /// Whether its numbers went back, or the last event that was taken is another now.
     fn began_anew(&self, answer: &SourceAnswer) -> bool {
         let is_other = |event: &SourceEvent| {
-            self.last_event.as_ref().is_some_and(|last| last.number == event.number && last != event)
+            self.last_event.as_ref().is_some_and(|last| last.seq == event.seq && last != event)
         };
-        answer.last < self.feed.last_seq || answer.results.iter().any(is_other)
+        answer.last_seq < self.feed.last_seq || answer.results.iter().any(is_other)
     }
 
     fn begin_anew(&mut self, now: Duration) {
         self.feed.resync_from_start(now);
-        self.list.begin_anew();
+        self.list.on_log_restart();
         self.last_event = None;
     }
 }
--- a/crates/replica/src/source.rs
+++ b/crates/replica/src/source.rs
@@ -15,7 +15,7 @@
 pub struct SourceAnswer {
     /// The number of its last event.
     #[serde(rename = "seq")]
-    pub last: u64,
+    pub last_seq: u64,
     /// Events that were asked for.
     #[serde(default)]
     pub results: Vec<SourceEvent>,
@@ -25,8 +25,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct SourceEvent {
     /// Its number.
-    #[serde(rename = "seq")]
-    pub number: u64,
+    pub seq: u64,
     /// Hosts.
     pub fleet: Option<SourceFleet>,
     /// A purge.
@@ -61,13 +60,13 @@
 pub enum SourceError {
     /// No target.
     #[error("event {0} purges neither an object nor a group: it is passed over")]
-    NoTarget(u64),
+    MissingTarget(u64),
     /// No time.
     #[error("event {0} purges at no time that can be read: it is passed over")]
-    NoTime(u64),
+    InvalidTime(u64),
     /// A host without a name.
     #[error("event {0} has a host without a name: the line is passed over")]
-    NoName(u64),
+    MissingName(u64),
 }
 
 /// The list of hosts as told so far.
@@ -82,28 +81,28 @@
 
 impl SourceList {
     /// The records that an event comes to, and what of it is unusable.
-    pub fn take(&mut self, event: &SourceEvent) -> (Vec<Record>, Vec<SourceError>) {
+    pub fn apply(&mut self, event: &SourceEvent) -> (Vec<Record>, Vec<SourceError>) {
         let (mut records, mut errors) = (Vec::new(), Vec::new());
         if let Some(purge) = &event.invalidate {
-            match purge.record(event.number) {
+            match purge.record(event.seq) {
                 Ok(record) => records.push(record),
                 Err(error) => errors.push(error),
             }
         }
         if let Some(fleet) = &event.fleet {
-            self.take_fleet(event.number, fleet, &mut records, &mut errors);
+            self.apply_fleet(event.seq, fleet, &mut records, &mut errors);
         }
         (records, errors)
     }
 
-    fn take_fleet(
+    fn apply_fleet(
         &mut self,
-        number: u64,
+        seq: u64,
         fleet: &SourceFleet,
         records: &mut Vec<Record>,
         errors: &mut Vec<SourceError>,
     ) {
-        let version = self.version(number);
+        let version = self.version(seq);
         if fleet.snapshot {
             let gone = self.left_out(&fleet.endpoints);
             records.extend(gone.into_iter().map(|name| self.leave(name, version)));
@@ -111,13 +110,13 @@
         for line in &fleet.endpoints {
             match line.get("name").and_then(Value::as_str) {
                 Some(name) => records.push(self.lay_over(name, line, version)),
-                None => errors.push(SourceError::NoName(number)),
+                None => errors.push(SourceError::MissingName(seq)),
             }
         }
     }
 
-    fn version(&mut self, number: u64) -> Version {
-        let version = self.base + number;
+    fn version(&mut self, seq: u64) -> Version {
+        let version = self.base + seq;
         self.highest = self.highest.max(version);
         Version(version)
     }
@@ -142,19 +141,19 @@
     }
 
     /// The change log began anew: its next numbers are over all that were given. The list stays until it is told whole.
-    pub fn begin_anew(&mut self) {
+    pub fn on_log_restart(&mut self) {
         self.base = self.highest;
     }
 
     /// A version under one that replicas know was refused. True: the change log, whose last event is `last`, began anew
     /// before this replica started, and its lines are over the known version from now on.
-    pub fn is_behind(&mut self, known: Version, last: u64) -> bool {
-        let began_anew = self.base + last < known.0;
-        if began_anew {
+    pub fn rebase_if_restarted(&mut self, known: Version, last_seq: u64) -> bool {
+        let has_restarted = self.base + last_seq < known.0;
+        if has_restarted {
             self.base = known.0;
             self.highest = self.highest.max(known.0);
         }
-        began_anew
+        has_restarted
     }
 }
 
@@ -163,11 +162,11 @@
 
 impl SourcePurge {
     /// Its record; the time is rounded up, which purges no less.
-    fn record(&self, number: u64) -> Result<Record, SourceError> {
+    fn record(&self, seq: u64) -> Result<Record, SourceError> {
         let object = self.object.clone().map(PurgeTarget::Object);
-        let target = object.or(self.bucket.map(PurgeTarget::Group)).ok_or(SourceError::NoTarget(number))?;
+        let target = object.or(self.bucket.map(PurgeTarget::Group)).ok_or(SourceError::MissingTarget(seq))?;
         let is_time = self.unix_ms.is_finite() && self.unix_ms >= 0.0;
-        let unix_ms = is_time.then(|| self.unix_ms.ceil() as u64).ok_or(SourceError::NoTime(number))?;
+        let unix_ms = is_time.then(|| self.unix_ms.ceil() as u64).ok_or(SourceError::InvalidTime(seq))?;
         Ok(Record::Purge(Purge { target, unix_ms }))
     }
 }
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -255,35 +255,35 @@
     }
 }
 
-/// Asks a replica for its status.
+/// Requests the status of a replica.
 ///
 /// # Errors
-/// No replica there, or no whole answer within `patience`.
-pub fn ask(at: SocketAddr, patience: Duration) -> Result<Status, StatusError> {
-    let body = exchange(at, patience)?;
-    serde_json::from_slice(&body).map_err(|e| StatusError::Unreadable { at, why: e.to_string() })
+/// The replica cannot be reached, or it sends no complete, valid response within `timeout`.
+pub fn fetch(address: SocketAddr, timeout: Duration) -> Result<Status, StatusError> {
+    let body = exchange(address, timeout)?;
+    serde_json::from_slice(&body).map_err(|e| StatusError::Invalid { address, cause: e.to_string() })
 }
 
-fn exchange(at: SocketAddr, patience: Duration) -> Result<bytes::Bytes, StatusError> {
-    let connection = |why: std::io::Error| StatusError::Connection { at, why };
-    let until = Instant::now() + patience;
-    let mut stream = TcpStream::connect_timeout(&at, patience).map_err(connection)?;
-    let request = format!("GET /status HTTP/1.1\r\nHost: {at}\r\n\r\n");
+fn exchange(address: SocketAddr, timeout: Duration) -> Result<bytes::Bytes, StatusError> {
+    let connection = |cause: std::io::Error| StatusError::Connection { address, cause };
+    let deadline = Instant::now() + timeout;
+    let mut stream = TcpStream::connect_timeout(&address, timeout).map_err(connection)?;
+    let request = format!("GET /status HTTP/1.1\r\nHost: {address}\r\n\r\n");
     stream.write_all(request.as_bytes()).map_err(connection)?;
     let (mut inbound, mut chunk) = (BytesMut::new(), vec![0; CHUNK]);
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(connection(ErrorKind::TimedOut.into()));
         }
-        stream.set_read_timeout(Some(left)).map_err(connection)?;
+        stream.set_read_timeout(Some(remaining)).map_err(connection)?;
         let read = stream.read(&mut chunk).map_err(connection)?;
         if read == 0 {
-            return Err(StatusError::Unfinished(at));
+            return Err(StatusError::Truncated(address));
         }
         inbound.extend_from_slice(&chunk[..read]);
-        let unreadable = |StreamError(why)| StatusError::Unreadable { at, why: why.to_owned() };
-        if let Some(body) = changelog::next_answer(&mut inbound).map_err(unreadable)? {
+        let invalid = |StreamError(cause)| StatusError::Invalid { address, cause: cause.to_owned() };
+        if let Some(body) = changelog::next_answer(&mut inbound).map_err(invalid)? {
             return Ok(body);
         }
     }
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -77,7 +77,7 @@
     }
 
     pub fn status(&self) -> Status {
-        status::ask(self.address, PATIENCE).expect("a status")
+        status::fetch(self.address, PATIENCE).expect("a status")
     }
 
     /// Looks at the status until it is as wanted.
@@ -114,9 +114,9 @@
             Ok(Order::End) => return,
             Err(_) => {}
         }
-        let patience = service.patience().min(LOOK_EVERY);
-        turns.dispatch(patience, &mut service).expect("the loop goes on");
-        service.turn();
+        let timeout = service.poll_timeout().min(LOOK_EVERY);
+        turns.dispatch(timeout, &mut service).expect("the loop goes on");
+        service.process_events();
     }
 }
 
--- a/crates/replica/tests/polls.rs
+++ b/crates/replica/tests/polls.rs
@@ -165,5 +165,5 @@
     let error = myrtlegauge_replica::Service::start(turns.handle(), &terms("a", at)).map(drop);
     let error = error.expect_err("it is in use").to_string();
     assert!(error.contains(&at.to_string()), "{error}");
-    assert!(myrtlegauge_replica::status::ask(free_address(), PATIENCE).is_err());
+    assert!(myrtlegauge_replica::status::fetch(free_address(), PATIENCE).is_err());
 }
--- a/crates/replica/tests/requests.rs
+++ b/crates/replica/tests/requests.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use myrtlegauge_replica::RequestError;
-use myrtlegauge_replica::http::{self, HEAD_MOST, Request};
+use myrtlegauge_replica::http::{self, MAX_HEAD_BYTES, Request};
 use myrtlegauge_replication::{
     Attachment, Incarnation, LogId, MemberName, PollError, PollRequest, Poller, ReplicaName, Sequence,
 };
@@ -95,16 +95,16 @@
     let many: String = (0..40).map(|number| format!("a{number}: b\r\n")).collect();
     assert_eq!(
         refused(&format!("GET /status HTTP/1.1\r\n{many}\r\n")),
-        RequestError::TooLong { most: HEAD_MOST }
+        RequestError::HeadTooLong { max_bytes: MAX_HEAD_BYTES }
     );
 }
 
 #[test]
 fn a_head_without_end_is_refused_at_the_bound() {
     let begun = "GET /changes?since=1&log=".to_owned();
-    let within = format!("{begun}{}", "x".repeat(HEAD_MOST - begun.len()));
+    let within = format!("{begun}{}", "x".repeat(MAX_HEAD_BYTES - begun.len()));
     assert_eq!(read(&within), Ok(None), "it may still become whole");
-    assert_eq!(read(&format!("{within}x")), Err(RequestError::TooLong { most: HEAD_MOST }));
+    assert_eq!(read(&format!("{within}x")), Err(RequestError::HeadTooLong { max_bytes: MAX_HEAD_BYTES }));
 }
 
 #[test]
--- a/crates/replica/tests/source.rs
+++ b/crates/replica/tests/source.rs
@@ -11,7 +11,7 @@
 fn records(list: &mut SourceList, told: Value) -> Vec<Record> {
     let mut all = Vec::new();
     for event in events(told) {
-        let (records, errors) = list.take(&event);
+        let (records, errors) = list.apply(&event);
         assert_eq!(errors, []);
         all.extend(records);
     }
@@ -77,7 +77,7 @@
     let version = |records: &[Record]| records[0].version().expect("a host line has a version").0;
     let mut list = SourceList::default();
     assert_eq!(version(&records(&mut list, told(8))), 8);
-    list.begin_anew();
+    list.on_log_restart();
     assert_eq!(version(&records(&mut list, told(1))), 9);
 }
 
@@ -86,23 +86,29 @@
     let mut list = SourceList::default();
     let event =
         events(json!([{"seq": 2, "fleet": {"endpoints": [{"name": "c1", "status": "active"}]}}])).remove(0);
-    list.take(&event);
-    assert!(!list.is_behind(Version(7), 9), "an old event of a log that goes further");
-    assert!(list.is_behind(Version(7), 6), "a log that is shorter than what replicas know");
-    let (records, _) = list.take(&event);
+    list.apply(&event);
+    assert!(!list.rebase_if_restarted(Version(7), 9), "an old event of a log that goes further");
+    assert!(list.rebase_if_restarted(Version(7), 6), "a log that is shorter than what replicas know");
+    let (records, _) = list.apply(&event);
     assert_eq!(records, [host("c1", 9, json!({"name": "c1", "status": "active"}))]);
 }
 
 #[test]
 fn what_is_unusable_is_told_and_the_rest_is_taken() {
     let event = |told: Value| events(json!([told])).remove(0);
-    let take = |told: Value| SourceList::default().take(&event(told));
-    assert_eq!(take(json!({"seq": 1, "invalidate": {"time": 5}})), (vec![], vec![SourceError::NoTarget(1)]));
+    let take = |told: Value| SourceList::default().apply(&event(told));
+    assert_eq!(
+        take(json!({"seq": 1, "invalidate": {"time": 5}})),
+        (vec![], vec![SourceError::MissingTarget(1)])
+    );
     assert_eq!(
         take(json!({"seq": 2, "invalidate": {"bucket": 1, "time": -5}})),
-        (vec![], vec![SourceError::NoTime(2)])
+        (vec![], vec![SourceError::InvalidTime(2)])
     );
     let (records, errors) =
         take(json!({"seq": 3, "fleet": {"endpoints": [{"status": "active"}, {"name": "c"}]}}));
-    assert_eq!((records, errors), (vec![host("c", 3, json!({"name": "c"}))], vec![SourceError::NoName(3)]));
+    assert_eq!(
+        (records, errors),
+        (vec![host("c", 3, json!({"name": "c"}))], vec![SourceError::MissingName(3)])
+    );
 }
