--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,9 +1,10 @@
-//! A replica of the change log as a program: the sockets around the core of `myrtlegauge-replication`, on one calloop
-//! loop and one thread. Dispatchers and other replicas poll it by the change log's own long poll; what is told, to whom
-//! and when, is decided by the core.
+//! The replica program of the change log: socket I/O around the core of `myrtlegauge-replication`, on one calloop event
+//! loop in one thread. Dispatchers and other replicas poll it with the long poll of the change log. The core decides
+//! which records are sent, to whom and when.
 //!
-//! `http` reads requests and writes answers, `pollers` holds their connections, `peers` polls the other replicas,
-//! `source` turns the platform's change log into records, `status` shows what an operator asks for, `service` is the loop.
+//! `http` parses requests and builds responses, `pollers` manages the connections of pollers, `peers` polls the other
+//! replicas, `source` converts the platform's change log into records, `status` reports the state to operators,
+//! `service` runs the event loop.
 
 pub mod errors;
 pub mod http;
--- a/crates/replica/src/log_budget.rs
+++ b/crates/replica/src/log_budget.rs
@@ -1,26 +1,26 @@
-//! A budget of log lines on faults: one a second, with the count of those that went unsaid.
+//! Rate limit for warnings: at most one per interval, with the number of suppressed warnings.
 
 use std::time::Duration;
 
-/// The span in which one line is written.
-const LOG_EVERY: Duration = Duration::from_secs(1);
+/// The minimum time between two logged warnings.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When the next line may be written, and how many went unsaid since the last.
+/// Rate limiter for warnings, with a count of those suppressed since the last one that was logged.
 #[derive(Default)]
 pub struct LogBudget {
     next_at: Duration,
-    unsaid: u64,
+    suppressed: u64,
 }
 
 impl LogBudget {
-    /// Logs what is wrong, if a line may be written now.
-    pub fn warn(&mut self, now: Duration, what: &dyn std::fmt::Display) {
+    /// Logs a warning, or counts it as suppressed if the interval since the last one is not over.
+    pub fn warn(&mut self, now: Duration, message: &dyn std::fmt::Display) {
         if now < self.next_at {
-            self.unsaid += 1;
+            self.suppressed += 1;
             return;
         }
-        self.next_at = now + LOG_EVERY;
-        let unsaid = std::mem::take(&mut self.unsaid);
-        log::warn!(unsaid; "replication: {what}");
+        self.next_at = now + LOG_INTERVAL;
+        let suppressed = std::mem::take(&mut self.suppressed);
+        log::warn!(unsaid = suppressed; "replication: {message}");
     }
 }
--- a/crates/replica/src/peers.rs
+++ b/crates/replica/src/peers.rs
@@ -1,6 +1,6 @@
-//! Polls of the other replicas: sent as the core asks for them, their answers handed to it.
+//! Polls of the other replicas, sent at the request of the core; their responses are returned to it.
 
-use crate::service::{Service, Who};
+use crate::service::{EventSource, Service};
 use bytes::Bytes;
 use myrtlegauge_operator::file::ReplicaPeer;
 use myrtlegauge_replication::{PeerAsk, ReplicaName};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Names one peer, by its place in the operator file.
+/// Identifies a peer by its index in the operator file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerKey(usize);
 
@@ -19,48 +19,53 @@
     poll: LongPollClient<Service>,
 }
 
-/// All other replicas.
+/// The other replicas.
 pub struct Peers(Vec<Peer>);
 
-/// What came of the poll of a peer.
+/// The result of polling a peer.
 pub struct PeerOutcome {
-    /// The peer.
+    /// The name of the peer.
     pub name: ReplicaName,
-    /// The body of its answer, or why there is none.
-    pub answer: Result<Bytes, StreamError>,
+    /// The body of the response, or the error of the connection.
+    pub result: Result<Bytes, StreamError>,
 }
 
 impl Peers {
-    /// The peers of an operator file.
-    pub fn new(told: &[ReplicaPeer]) -> Self {
-        let peer = |(place, peer): (usize, &ReplicaPeer)| Peer {
+    /// Creates the clients for the peers of an operator file.
+    pub fn new(peers: &[ReplicaPeer]) -> Self {
+        let to_peer = |(index, peer): (usize, &ReplicaPeer)| Peer {
             name: ReplicaName(peer.name.clone()),
-            poll: LongPollClient::new(peer.address, Who::Peer(PeerKey(place))),
+            poll: LongPollClient::new(peer.address, EventSource::Peer(PeerKey(index))),
         };
-        Self(told.iter().enumerate().map(peer).collect())
+        Self(peers.iter().enumerate().map(to_peer).collect())
     }
 
-    /// Sends a poll.
-    pub fn ask(&mut self, ask: &PeerAsk, hub: &EventLoopHandle<Service>, accounts: &Rc<ResourceUsage>) {
+    /// Sends a poll; ignores one to an unknown peer.
+    pub fn start_poll(
+        &mut self,
+        ask: &PeerAsk,
+        event_loop: &EventLoopHandle<Service>,
+        usage: &Rc<ResourceUsage>,
+    ) {
         let Some(peer) = self.0.iter_mut().find(|peer| peer.name == ask.to) else { return };
-        peer.poll.start_poll(&ask.request.to_query(), ask.give_up_at, hub, accounts);
+        peer.poll.start_poll(&ask.request.to_query(), ask.give_up_at, event_loop, usage);
     }
 
-    /// Reads and writes what can be; true: there is more to read.
-    pub fn on_ready(&mut self, key: PeerKey, shared: &mut [u8]) -> bool {
-        self.0[key.0].poll.on_ready(shared)
+    /// Reads and writes as much as the socket allows; returns whether more can be read.
+    pub fn on_ready(&mut self, key: PeerKey, read_buffer: &mut [u8]) -> bool {
+        self.0[key.0].poll.on_ready(read_buffer)
     }
 
-    /// The next poll that was answered or has failed.
-    pub fn next(&mut self, now: Duration) -> Option<PeerOutcome> {
+    /// Returns the result of the next poll that was answered or has failed.
+    pub fn next_outcome(&mut self, now: Duration) -> Option<PeerOutcome> {
         let outcome = |peer: &mut Peer| {
-            Some(PeerOutcome { answer: peer.poll.take_result(now)?, name: peer.name.clone() })
+            Some(PeerOutcome { result: peer.poll.take_result(now)?, name: peer.name.clone() })
         };
         self.0.iter_mut().find_map(outcome)
     }
 
-    /// When the first open poll is given up.
-    pub fn due(&self) -> Duration {
+    /// Returns the earliest deadline of the open polls.
+    pub fn deadline(&self) -> Duration {
         self.0.iter().map(|peer| peer.poll.deadline()).min().unwrap_or(Duration::MAX)
     }
 }
--- a/crates/replica/src/pollers.rs
+++ b/crates/replica/src/pollers.rs
@@ -1,8 +1,9 @@
-//! The connections of pollers: taken in, read, answered, and closed in steps. Each has one request in hand at most.
+//! The connections of pollers: accepting, reading, answering and lingering close. Each connection has at most one
+//! request in flight.
 
 use crate::errors::RequestError;
 use crate::http::{self, MAX_HEAD_BYTES, Request};
-use crate::service::{Service, Who};
+use crate::service::{EventSource, Service};
 use bytes::Bytes;
 use myrtlegauge_replication::PollId;
 use myrtlegauge_wire::transport::{
@@ -13,120 +14,124 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes read from one poller in one turn: some requests.
-const READ_MOST: usize = 16 * 1024;
-/// Time in which a request that has begun becomes whole: far over a slow network's round trips.
-const WHOLE_WITHIN: Duration = Duration::from_secs(2);
-/// A connection on which nothing is asked is closed after this: a poller asks again at once.
-const IDLE_MOST: Duration = Duration::from_secs(60);
-/// A poller that takes nothing of its answer for so long is given up: it has given the poll up itself by then.
-const TAKEN_WITHIN: Duration = Duration::from_secs(5);
-/// A poll for which no answer came is given up this long after its own timeout: it was replaced by a newer one.
-const REPLACED_AFTER: Duration = Duration::from_secs(2);
-/// Connections at once that are being closed.
-const CLOSING_MOST: usize = 64;
+/// The maximum number of bytes read from a poller per loop iteration, enough for a few requests.
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// The time in which a started request must be completed; far above the round trips of a slow network.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time after which an idle connection is closed; a live poller sends its next poll at once.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The time after which a connection is closed if its poller reads nothing of a response; the poller has given up the
+/// poll by then.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long after its own timeout an unanswered poll is dropped with its connection; a newer poll has replaced it.
+const REPLACED_POLL_GRACE: Duration = Duration::from_secs(2);
+/// The maximum number of connections in lingering close.
+const MAX_CLOSING: usize = 64;
 
-/// Names one connection; never used again.
+/// Identifies a connection; keys are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PollerKey(u64);
 
 enum Stage {
-    /// Nothing is in hand; of the next request a part may have come.
+    /// No request is in flight; a part of the next request may have arrived.
     Reading,
-    /// A poll waits for its answer.
-    Waiting { poll: PollId, give_up_at: Duration },
+    /// A poll waits for its response.
+    Waiting { poll: PollId, deadline: Duration },
 }
 
 struct PollerConnection {
     connection: Connection<Service>,
     stage: Stage,
-    /// When the request that is being read began, or the connection fell idle.
+    /// The time when the request being read started, or when the connection became idle.
     since: Duration,
-    /// What the system had taken of the answers, and when that last changed.
-    flushed: u64,
-    flushed_at: Duration,
+    /// The number of bytes written to the socket so far, and the time of the last progress.
+    written_bytes: u64,
+    last_write_at: Duration,
     has_ended: bool,
 }
 
-/// All connections of pollers.
+/// The connections of all pollers.
 pub struct Pollers {
     listener: Listener<Service>,
-    accepting: bool,
+    has_pending: bool,
     connections: BTreeMap<PollerKey, PollerConnection>,
     by_poll: BTreeMap<PollId, PollerKey>,
     closing: ClosingConnections<Service>,
-    most: usize,
+    max_connections: usize,
     next_key: u64,
     next_poll: u64,
 }
 
 impl Pollers {
-    /// No connection yet; at most `most` at once.
-    pub fn new(listener: Listener<Service>, most: usize) -> Self {
+    /// Creates the set of connections, which holds at most `max_connections` at once.
+    pub fn new(listener: Listener<Service>, max_connections: usize) -> Self {
         Self {
             listener,
-            accepting: true,
+            has_pending: true,
             connections: BTreeMap::new(),
             by_poll: BTreeMap::new(),
-            closing: ClosingConnections::new(CLOSING_MOST),
-            most,
+            closing: ClosingConnections::new(MAX_CLOSING),
+            max_connections,
             next_key: 0,
             next_poll: 0,
         }
     }
 
-    /// Where pollers connect.
+    /// Returns the address that pollers connect to.
     pub fn address(&self) -> io::Result<std::net::SocketAddr> {
         self.listener.address()
     }
 
-    /// Connections at present.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Somebody waits to be let in.
+    /// Marks that connections wait to be accepted.
     pub fn on_listener_ready(&mut self) {
-        self.accepting = true;
+        self.has_pending = true;
     }
 
-    /// Lets in who waits; over the bound the connection idle for longest makes room, and where none is, they wait. The
-    /// keys of those to be looked at: the new ones, and who seemed idle and was not.
+    /// Accepts pending connections. At the limit, the connection that has been idle for longest is closed to make room;
+    /// if none is idle, new connections stay pending. Returns the keys of connections to read from: the new ones, and
+    /// those that seemed idle and were not.
     pub fn accept(
         &mut self,
-        hub: &EventLoopHandle<Service>,
-        accounts: &Rc<ResourceUsage>,
-        shared: &mut [u8],
+        event_loop: &EventLoopHandle<Service>,
+        usage: &Rc<ResourceUsage>,
+        read_buffer: &mut [u8],
         now: Duration,
     ) -> io::Result<Vec<PollerKey>> {
-        let mut heard = Vec::new();
-        while self.accepting && (self.connections.len() < self.most || self.longest_idle().is_some()) {
+        let mut active = Vec::new();
+        while self.has_pending
+            && (self.connections.len() < self.max_connections || self.longest_idle().is_some())
+        {
             let Some(stream) = self.listener.accept()? else {
-                self.accepting = false;
+                self.has_pending = false;
                 break;
             };
-            self.make_room(&mut heard, shared, now);
+            self.make_room(&mut active, read_buffer, now);
             let key = PollerKey(self.next_key);
             self.next_key += 1;
-            let connection = Connection::from_accepted(hub, stream, Who::Poller(key), accounts)?;
+            let connection = Connection::from_accepted(event_loop, stream, EventSource::Poller(key), usage)?;
             self.connections.insert(key, PollerConnection::new(connection, now));
-            heard.push(key);
+            active.push(key);
         }
-        Ok(heard)
+        Ok(active)
     }
 
-    /// Closes the connections idle for longest until one more is within the bound. Each is read once more before: what it
-    /// asked may have come in this turn.
-    fn make_room(&mut self, heard: &mut Vec<PollerKey>, shared: &mut [u8], now: Duration) {
-        while self.connections.len() >= self.most
+    /// Closes the connections that have been idle for longest until there is room for one more. Each is read once more
+    /// before it is closed, since a request may have arrived in this loop iteration.
+    fn make_room(&mut self, active: &mut Vec<PollerKey>, read_buffer: &mut [u8], now: Duration) {
+        while self.connections.len() >= self.max_connections
             && let Some(key) = self.longest_idle()
             && let Some(poller) = self.connections.get_mut(&key)
         {
-            poller.on_ready(shared, now);
+            poller.on_ready(read_buffer, now);
             if poller.is_idle() {
                 self.remove(key);
             } else {
-                heard.push(key);
+                active.push(key);
             }
         }
     }
@@ -136,15 +141,15 @@
         idle.min_by_key(|(_, poller)| poller.since).map(|(key, _)| *key)
     }
 
-    /// Reads and writes what can be; true: there is more to read.
-    pub fn on_ready(&mut self, key: PollerKey, shared: &mut [u8], now: Duration) -> bool {
+    /// Reads and writes as much as the socket allows; returns whether more can be read.
+    pub fn on_ready(&mut self, key: PollerKey, read_buffer: &mut [u8], now: Duration) -> bool {
         match self.connections.get_mut(&key) {
-            Some(poller) => poller.on_ready(shared, now),
-            None => self.closing.on_ready(Who::Poller(key), shared).unwrap_or(false),
+            Some(poller) => poller.on_ready(read_buffer, now),
+            None => self.closing.on_ready(EventSource::Poller(key), read_buffer).unwrap_or(false),
         }
     }
 
-    /// The next request of a connection, if it has none in hand and one is whole.
+    /// Returns the next request of a connection, if none is in flight and the next is complete.
     pub fn next_request(&mut self, key: PollerKey) -> Result<Option<Request>, RequestError> {
         let Some(poller) = self.connections.get_mut(&key) else { return Ok(None) };
         match poller.stage {
@@ -156,52 +161,52 @@
         }
     }
 
-    /// Has a poll wait on its connection; the number under which the core knows it.
-    pub fn wait(&mut self, key: PollerKey, timeout: Duration, now: Duration) -> PollId {
+    /// Marks a poll as waiting on its connection; returns the id that the core knows it by.
+    pub fn start_wait(&mut self, key: PollerKey, timeout: Duration, now: Duration) -> PollId {
         let poll = PollId(self.next_poll);
         self.next_poll += 1;
         if let Some(poller) = self.connections.get_mut(&key) {
-            let give_up_at = now + timeout.min(IDLE_MOST) + REPLACED_AFTER;
-            poller.stage = Stage::Waiting { poll, give_up_at };
+            let deadline = now + timeout.min(IDLE_TIMEOUT) + REPLACED_POLL_GRACE;
+            poller.stage = Stage::Waiting { poll, deadline };
             self.by_poll.insert(poll, key);
         }
         poll
     }
 
-    /// Who waits for a poll's answer.
-    pub fn waits_for(&self, poll: PollId) -> Option<PollerKey> {
+    /// Returns the connection that waits for the response to a poll.
+    pub fn waiting_for(&self, poll: PollId) -> Option<PollerKey> {
         self.by_poll.get(&poll).copied()
     }
 
-    /// Answers the request in hand; the next one may be read.
-    pub fn answer(&mut self, key: PollerKey, answer: Bytes, now: Duration) {
+    /// Sends the response to the request in flight; the next request can be read after that.
+    pub fn answer(&mut self, key: PollerKey, response: Bytes, now: Duration) {
         let Some(poller) = self.connections.get_mut(&key) else { return };
         if let Stage::Waiting { poll, .. } = std::mem::replace(&mut poller.stage, Stage::Reading) {
             self.by_poll.remove(&poll);
         }
         if poller.connection.unsent_bytes() == 0 {
-            poller.flushed_at = now;
+            poller.last_write_at = now;
         }
-        poller.connection.enqueue(answer);
+        poller.connection.enqueue(response);
         poller.since = now;
         poller.has_ended |= poller.connection.flush().is_err();
     }
 
-    /// Says what is wrong and closes the connection in steps; the poll that it had in hand.
+    /// Sends an error response and starts a lingering close; returns the poll that was in flight.
     pub fn refuse(
         &mut self,
         key: PollerKey,
         error: &RequestError,
-        shared: &mut [u8],
+        read_buffer: &mut [u8],
         now: Duration,
     ) -> Option<PollId> {
         let (mut poller, poll) = self.remove(key)?;
-        poller.connection.enqueue(http::error_answer(error));
-        self.closing.start_close(Who::Poller(key), poller.connection, shared, now);
+        poller.connection.enqueue(http::error_response(error));
+        self.closing.start_close(EventSource::Poller(key), poller.connection, read_buffer, now);
         poll
     }
 
-    /// Lets a connection go whose poller has left; the poll that it had in hand.
+    /// Drops a connection that its poller has closed; returns the poll that was in flight.
     pub fn drop_ended(&mut self, key: PollerKey) -> Option<PollId> {
         let has_ended = self.connections.get(&key).is_some_and(|poller| poller.has_ended);
         if has_ended { self.remove(key)?.1 } else { None }
@@ -219,33 +224,42 @@
         Some((poller, poll))
     }
 
-    /// Closes what does not move; the polls that nobody waits for any more.
-    pub fn tidy(&mut self, shared: &mut [u8], now: Duration) -> Vec<PollId> {
+    /// Closes stalled connections; returns the polls that were in flight on them.
+    pub fn sweep(&mut self, read_buffer: &mut [u8], now: Duration) -> Vec<PollId> {
         self.closing.expire(now);
         let stalled = |(key, poller): (&PollerKey, &mut PollerConnection)| Some((*key, poller.stall(now)?));
         let stalled: Vec<_> = self.connections.iter_mut().filter_map(stalled).collect();
         let mut cancelled = Vec::new();
         for (key, stall) in stalled {
             cancelled.extend(match stall {
-                Stall::HalfRequest => self.refuse(key, &RequestError::Timeout, shared, now),
-                Stall::Idle | Stall::Replaced | Stall::Deaf => self.remove(key).and_then(|(_, poll)| poll),
+                Stall::IncompleteRequest => self.refuse(key, &RequestError::Timeout, read_buffer, now),
+                Stall::Idle | Stall::ReplacedPoll | Stall::NotReading => {
+                    self.remove(key).and_then(|(_, poll)| poll)
+                }
             });
         }
         cancelled
     }
 }
 
-/// Why a connection does not move.
+/// Reasons why a connection makes no progress.
 enum Stall {
-    HalfRequest,
+    IncompleteRequest,
     Idle,
-    Replaced,
-    Deaf,
+    ReplacedPoll,
+    NotReading,
 }
 
 impl PollerConnection {
     fn new(connection: Connection<Service>, now: Duration) -> Self {
-        Self { connection, stage: Stage::Reading, since: now, flushed: 0, flushed_at: now, has_ended: false }
+        Self {
+            connection,
+            stage: Stage::Reading,
+            since: now,
+            written_bytes: 0,
+            last_write_at: now,
+            has_ended: false,
+        }
     }
 
     fn is_idle(&self) -> bool {
@@ -254,37 +268,37 @@
             && self.connection.unsent_bytes() == 0
     }
 
-    fn on_ready(&mut self, shared: &mut [u8], now: Duration) -> bool {
+    fn on_ready(&mut self, read_buffer: &mut [u8], now: Duration) -> bool {
         let is_first = self.connection.unparsed_bytes() == 0;
-        let reading = match self.connection.flush() {
-            Ok(()) => self.connection.read(shared, READ_MOST),
+        let outcome = match self.connection.flush() {
+            Ok(()) => self.connection.read(read_buffer, MAX_READ_BYTES),
             Err(_) => ReadOutcome::Closed,
         };
         if is_first {
             self.since = now;
         }
-        self.has_ended |= reading == ReadOutcome::Closed;
-        reading == ReadOutcome::More
+        self.has_ended |= outcome == ReadOutcome::Closed;
+        outcome == ReadOutcome::More
     }
 
     fn stall(&mut self, now: Duration) -> Option<Stall> {
         if self.connection.unsent_bytes() > 0 {
-            return self.is_deaf(now).then_some(Stall::Deaf);
+            return self.is_not_reading(now).then_some(Stall::NotReading);
         }
         match self.stage {
-            Stage::Waiting { give_up_at, .. } => (now >= give_up_at).then_some(Stall::Replaced),
+            Stage::Waiting { deadline, .. } => (now >= deadline).then_some(Stall::ReplacedPoll),
             Stage::Reading if self.connection.unparsed_bytes() > 0 => {
-                (now >= self.since + WHOLE_WITHIN).then_some(Stall::HalfRequest)
+                (now >= self.since + REQUEST_TIMEOUT).then_some(Stall::IncompleteRequest)
             }
-            Stage::Reading => (now >= self.since + IDLE_MOST).then_some(Stall::Idle),
+            Stage::Reading => (now >= self.since + IDLE_TIMEOUT).then_some(Stall::Idle),
         }
     }
 
-    fn is_deaf(&mut self, now: Duration) -> bool {
-        let flushed = self.connection.written_bytes();
-        if flushed != self.flushed {
-            (self.flushed, self.flushed_at) = (flushed, now);
+    fn is_not_reading(&mut self, now: Duration) -> bool {
+        let written_bytes = self.connection.written_bytes();
+        if written_bytes != self.written_bytes {
+            (self.written_bytes, self.last_write_at) = (written_bytes, now);
         }
-        now >= self.flushed_at + TAKEN_WITHIN
+        now >= self.last_write_at + WRITE_STALL_TIMEOUT
     }
 }
--- a/crates/replica/src/service.rs
+++ b/crates/replica/src/service.rs
@@ -1,4 +1,5 @@
-//! The loop: what pollers, peers and the platform's change log send goes to the core; what the core has goes out.
+//! The event loop: passes input from pollers, peers and the platform's change log to the core, and sends the output of
+//! the core.
 
 use crate::errors::{ReplicaError, RequestError};
 use crate::http::{self, Request};
@@ -23,58 +24,60 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A buffer that all connections read by way of.
-const SHARED: usize = 64 * 1024;
-/// How often connections are looked over.
-const TIDY_EVERY: Duration = Duration::from_millis(250);
-/// Bytes that wait to be taken by pollers; with more, no further answer is asked of the core until some have gone.
-const BUFFERED_MOST: usize = 128 * 1024 * 1024;
+/// The size of the read buffer that all connections share.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// The interval between sweeps of stalled connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// The maximum number of unsent response bytes; above it, no further response is taken from the core until pollers have
+/// read some of them.
+const MAX_BUFFERED_BYTES: usize = 128 * 1024 * 1024;
 
-/// What the loop tells to be ready.
+/// A socket that the event loop reports as ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
-    /// Somebody wants to be let in.
+pub enum EventSource {
+    /// The listener has a pending connection.
     Listener,
-    /// A poller's connection.
+    /// The connection of a poller.
     Poller(PollerKey),
-    /// The poll of a peer.
+    /// The connection to a peer.
     Peer(PeerKey),
-    /// The poll of the platform's change log.
+    /// The connection to the platform's change log.
     Source,
 }
 
-/// What is counted beside the core's own counters.
+/// Counters of the program, in addition to those of the core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Polls that were answered.
+    /// Answered polls.
     pub polls_answered: u64,
-    /// Events in those answers.
+    /// Events in the responses to polls.
     pub events_sent: u64,
-    /// Requests that were refused, with a sentence.
+    /// Requests that were refused with an error response.
     pub requests_refused: u64,
-    /// Polls that were given up before their answers.
+    /// Polls that were cancelled before their response.
     pub polls_cancelled: u64,
-    /// Polls of peers that failed.
+    /// Failed polls of peers.
     pub peer_polls_failed: u64,
-    /// Polls of the platform's change log that failed.
+    /// Failed polls of the platform's change log.
     pub source_polls_failed: u64,
-    /// Times that the platform's change log began anew.
+    /// Restarts of the platform's change log.
     pub source_restarts: u64,
-    /// Events of it that were published.
+    /// Events of the platform's change log that were published.
     pub source_events: u64,
-    /// Records of it that were refused.
+    /// Records of the platform's change log that the core refused.
     pub records_refused: u64,
 }
 
-/// The poll of the platform's change log.
+/// The client of the platform's change log.
 struct Source {
-    feed: ChangeLogClient<Service>,
+    client: ChangeLogClient<Service>,
     list: SourceList,
-    /// The last event that was taken: another one under its number tells of a change log that began anew.
+    /// The last event that was accepted. A different event with the same sequence number shows that the change log has
+    /// restarted.
     last_event: Option<SourceEvent>,
 }
 
-/// A replica on a loop.
+/// A replica on an event loop.
 pub struct Service {
     name: ReplicaName,
     log: LogId,
@@ -83,51 +86,52 @@
     peers: Peers,
     source: Option<Source>,
     purges: LatestPurges,
-    hub: LoopHandle<'static, Self>,
-    accounts: Rc<ResourceUsage>,
-    shared: Box<[u8]>,
-    ready: Vec<Who>,
+    event_loop: LoopHandle<'static, Self>,
+    usage: Rc<ResourceUsage>,
+    read_buffer: Box<[u8]>,
+    ready: Vec<EventSource>,
     clock: Clock,
     now: Duration,
-    tidy_at: Duration,
-    faults: LogBudget,
+    sweep_at: Duration,
+    warnings: LogBudget,
     counters: Counters,
     is_done: bool,
 }
 
 impl ReadinessHandler for Service {
-    type Key = Who;
+    type Key = EventSource;
 
-    fn on_socket_ready(&mut self, who: Who) {
-        self.ready.push(who);
+    fn on_socket_ready(&mut self, source: EventSource) {
+        self.ready.push(source);
     }
 }
 
-/// Runs a replica until it is told to end; SIGUSR1 logs its counters.
+/// Runs a replica until SIGTERM or SIGINT; SIGUSR1 logs its counters.
 ///
 /// # Errors
-/// A file without a replica in it, terms that can't work, an address that can't be listened on.
+/// The file configures no replica, its settings are unusable, the address cannot be listened on, or the event loop
+/// fails.
 pub fn run(file: &OperatorFile) -> Result<(), ReplicaError> {
     let terms = file.replica.as_ref().ok_or(ReplicaError::NoReplica)?;
     let failed =
         |operation: &'static str| move |cause: calloop::Error| ReplicaError::Loop { operation, cause };
-    let mut turns = EventLoop::<Service>::try_new().map_err(failed("cannot create the event loop"))?;
-    watch_signals(&turns.handle())?;
-    let mut service = Service::start(turns.handle(), terms)?;
+    let mut event_loop = EventLoop::<Service>::try_new().map_err(failed("cannot create the event loop"))?;
+    watch_signals(&event_loop.handle())?;
+    let mut service = Service::start(event_loop.handle(), terms)?;
     let address = service.address().map_err(|cause| ReplicaError::Listen { address: terms.listen, cause })?;
     log::info!(log = service.log.0.as_str(); "replication: {} listens on {address}", service.name);
     while !service.is_done {
-        turns.dispatch(service.poll_timeout(), &mut service).map_err(failed("the event loop failed"))?;
+        event_loop.dispatch(service.poll_timeout(), &mut service).map_err(failed("the event loop failed"))?;
         service.process_events();
     }
     service.log_report();
     Ok(())
 }
 
-fn watch_signals(hub: &LoopHandle<'static, Service>) -> Result<(), ReplicaError> {
+fn watch_signals(event_loop: &LoopHandle<'static, Service>) -> Result<(), ReplicaError> {
     let failed = |cause: calloop::Error| ReplicaError::Loop { operation: "cannot watch signals", cause };
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1]).map_err(failed)?;
-    let watched = hub.insert_source(signals, |signal, _, service| match signal.signal() {
+    let watched = event_loop.insert_source(signals, |signal, _, service| match signal.signal() {
         Signal::SIGUSR1 => service.log_report(),
         _ => service.is_done = true,
     });
@@ -135,30 +139,30 @@
 }
 
 impl Service {
-    /// Listens, and begins to poll.
+    /// Starts listening; polls start with the first loop iteration.
     ///
     /// # Errors
-    /// Terms that can't work, an address that can't be listened on.
-    pub fn start(hub: LoopHandle<'static, Self>, terms: &ReplicaTerms) -> Result<Self, ReplicaError> {
-        Self::start_with(hub, terms, ReplicaDefences::default())
+    /// The settings are unusable, or the address cannot be listened on.
+    pub fn start(event_loop: LoopHandle<'static, Self>, terms: &ReplicaTerms) -> Result<Self, ReplicaError> {
+        Self::start_with(event_loop, terms, ReplicaDefences::default())
     }
 
-    /// The same with some of the core's defences switched off, for proofs.
+    /// Like [`Service::start`], with some safeguards of the core switched off to prove that they are needed.
     ///
     /// # Errors
-    /// As of [`Service::start`].
+    /// The same as for [`Service::start`].
     pub fn start_with(
-        hub: LoopHandle<'static, Self>,
+        event_loop: LoopHandle<'static, Self>,
         terms: &ReplicaTerms,
         defences: ReplicaDefences,
     ) -> Result<Self, ReplicaError> {
         let clock = Clock::start();
         let now = clock.now();
-        let config = ReplicaConfig { defences, ..config(terms, Incarnation(clock.unix_ms(now))) };
+        let config = ReplicaConfig { defences, ..replica_config(terms, Incarnation(clock.unix_ms(now))) };
         let (name, log) = (config.name.clone(), config.log.clone());
         let core = Replica::new(config, now)?;
-        let accounts = Rc::new(ResourceUsage::default());
-        let listener = Listener::bind(&hub, terms.listen, Who::Listener, &accounts)
+        let usage = Rc::new(ResourceUsage::default());
+        let listener = Listener::bind(&event_loop, terms.listen, EventSource::Listener, &usage)
             .map_err(|cause| ReplicaError::Listen { address: terms.listen, cause })?;
         Ok(Self {
             name,
@@ -168,112 +172,115 @@
             peers: Peers::new(&terms.peers),
             source: terms.source.map(Source::new),
             purges: LatestPurges::default(),
-            hub,
-            accounts,
-            shared: vec![0; SHARED].into(),
+            event_loop,
+            usage,
+            read_buffer: vec![0; READ_BUFFER_BYTES].into(),
             ready: Vec::new(),
             clock,
             now,
-            tidy_at: now,
-            faults: LogBudget::default(),
+            sweep_at: now,
+            warnings: LogBudget::default(),
             counters: Counters::default(),
             is_done: false,
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the replica listens on.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.pollers.address()
     }
 
-    /// What it has done.
+    /// Returns the counters of the program.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Takes a record, as if the platform's change log had told it.
+    /// Publishes a record as if it came from the platform's change log.
     ///
     /// # Errors
-    /// A record that the core refuses.
+    /// The core refuses the record.
     pub fn publish(&mut self, record: Record) -> Result<(), PublishError> {
         self.now = self.clock.now();
-        self.purges.note(&record);
+        self.purges.add(&record);
         self.core.publish(record, self.now).map(drop)
     }
 
-    /// How long the loop may sleep.
+    /// Returns how long the event loop may sleep.
     pub fn poll_timeout(&self) -> Duration {
         if !self.ready.is_empty() {
             return Duration::ZERO;
         }
         let core = self.core.next_wake().filter(|_| !self.is_full()).unwrap_or(Duration::MAX);
-        let source = self.source.as_ref().map_or(Duration::MAX, |source| source.feed.deadline);
-        let due = core.min(source).min(self.peers.due()).min(self.tidy_at);
-        due.saturating_sub(self.clock.now())
+        let source = self.source.as_ref().map_or(Duration::MAX, |source| source.client.deadline);
+        let deadline = core.min(source).min(self.peers.deadline()).min(self.sweep_at);
+        deadline.saturating_sub(self.clock.now())
     }
 
-    /// All that came since the last turn, and all that may go out.
+    /// Processes all input since the last loop iteration and sends all pending output.
     pub fn process_events(&mut self) {
         self.now = self.clock.now();
-        self.read();
-        self.follow_source();
-        self.hear_peers();
+        self.read_sockets();
+        self.poll_source();
+        self.process_peer_results();
         if self.core.next_wake().is_some_and(|at| self.now >= at) {
             self.core.tick(self.now);
         }
-        self.ask_peers();
+        self.poll_peers();
         self.answer_polls();
-        self.tidy();
+        self.sweep_if_due();
     }
 
     fn is_full(&self) -> bool {
-        self.accounts.buffered_bytes.current() > BUFFERED_MOST
+        self.usage.buffered_bytes.current() > MAX_BUFFERED_BYTES
     }
 
-    fn read(&mut self) {
-        for who in std::mem::take(&mut self.ready) {
-            let has_more = match who {
-                Who::Listener => {
+    fn read_sockets(&mut self) {
+        for source in std::mem::take(&mut self.ready) {
+            let has_more = match source {
+                EventSource::Listener => {
                     self.pollers.on_listener_ready();
                     false
                 }
-                Who::Poller(key) => self.read_poller(key),
-                Who::Peer(key) => self.peers.on_ready(key, &mut self.shared),
-                Who::Source => self.read_source(),
+                EventSource::Poller(key) => self.read_poller(key),
+                EventSource::Peer(key) => self.peers.on_ready(key, &mut self.read_buffer),
+                EventSource::Source => self.read_source(),
             };
-            self.ready.extend(has_more.then_some(who));
+            self.ready.extend(has_more.then_some(source));
         }
-        match self.pollers.accept(&self.hub, &self.accounts, &mut self.shared, self.now) {
-            Ok(heard) => self.ready.extend(heard.into_iter().map(Who::Poller)),
-            Err(e) => self.faults.warn(self.now, &format_args!("a connection could not be taken: {e}")),
+        match self.pollers.accept(&self.event_loop, &self.usage, &mut self.read_buffer, self.now) {
+            Ok(active) => self.ready.extend(active.into_iter().map(EventSource::Poller)),
+            Err(e) => self.warnings.warn(
+                self.now,
+                &format_args!("cannot accept a connection: {e}; retrying in the next loop iteration"),
+            ),
         }
     }
 
     fn read_poller(&mut self, key: PollerKey) -> bool {
-        let has_more = self.pollers.on_ready(key, &mut self.shared, self.now);
-        self.take_requests(key);
+        let has_more = self.pollers.on_ready(key, &mut self.read_buffer, self.now);
+        self.process_requests(key);
         let cancelled = self.pollers.drop_ended(key);
         self.cancel(cancelled);
         has_more
     }
 
-    /// Takes the requests of a connection, until one waits for its answer.
-    fn take_requests(&mut self, key: PollerKey) {
+    /// Processes the requests of a connection until one has to wait for its response.
+    fn process_requests(&mut self, key: PollerKey) {
         loop {
             match self.pollers.next_request(key) {
-                Ok(Some(Request::Poll(request))) => return self.take_poll(key, request),
-                Ok(Some(Request::Status)) => self.show(key),
+                Ok(Some(Request::Poll(request))) => return self.start_poll(key, request),
+                Ok(Some(Request::Status)) => self.send_status(key),
                 Ok(None) => return,
                 Err(error) => return self.refuse(key, &error),
             }
         }
     }
 
-    fn take_poll(&mut self, key: PollerKey, request: PollRequest) {
-        let id = self.pollers.wait(key, request.timeout, self.now);
+    fn start_poll(&mut self, key: PollerKey, request: PollRequest) {
+        let id = self.pollers.start_wait(key, request.timeout, self.now);
         let Err(error) = self.core.poll(id, request, self.now) else { return };
         if error.is_answered() {
-            self.faults.warn(self.now, &error);
+            self.warnings.warn(self.now, &error);
         } else {
             self.refuse(key, &error.into());
         }
@@ -281,10 +288,10 @@
 
     fn refuse(&mut self, key: PollerKey, error: &RequestError) {
         self.counters.requests_refused += 1;
-        self.faults.warn(self.now, error);
-        // A poll that the core did not take is none that it has to be told of.
-        let taken_before = self.pollers.refuse(key, error, &mut self.shared, self.now);
-        self.cancel(taken_before);
+        self.warnings.warn(self.now, error);
+        // Only a poll that the core had accepted before has to be cancelled there.
+        let accepted_poll = self.pollers.refuse(key, error, &mut self.read_buffer, self.now);
+        self.cancel(accepted_poll);
     }
 
     fn cancel(&mut self, polls: impl IntoIterator<Item = PollId>) {
@@ -294,13 +301,13 @@
         }
     }
 
-    fn show(&mut self, key: PollerKey) {
+    fn send_status(&mut self, key: PollerKey) {
         let status = self.status();
-        let body = serde_json::to_vec(&status).expect("a status is made of texts and numbers");
-        self.pollers.answer(key, http::json_answer(&body), self.now);
+        let body = serde_json::to_vec(&status).expect("a status serializes to JSON");
+        self.pollers.answer(key, http::json_response(&body), self.now);
     }
 
-    /// What an operator is shown.
+    /// Returns the status for operators.
     pub fn status(&mut self) -> Status {
         Status {
             name: self.name.0.clone(),
@@ -317,8 +324,8 @@
     fn traffic(&self) -> Traffic {
         Traffic {
             polls_answered: self.counters.polls_answered,
-            bytes_in: self.accounts.bytes_in.current() as u64,
-            bytes_out: self.accounts.bytes_out.current() as u64,
+            bytes_in: self.usage.bytes_in.current() as u64,
+            bytes_out: self.usage.bytes_out.current() as u64,
         }
     }
 
@@ -326,58 +333,59 @@
         while !self.is_full()
             && let Some((poll, answer)) = self.core.next_answer(self.now)
         {
-            let Some(key) = self.pollers.waits_for(poll) else { continue };
+            let Some(key) = self.pollers.waiting_for(poll) else { continue };
             self.counters.polls_answered += 1;
             self.counters.events_sent += answer.results.len() as u64;
-            let body = serde_json::to_vec(&answer).expect("an answer is made of texts and numbers");
-            self.pollers.answer(key, http::json_answer(&body), self.now);
-            // What came behind the poll is read in the next turn.
-            self.ready.push(Who::Poller(key));
+            let body = serde_json::to_vec(&answer).expect("a poll answer serializes to JSON");
+            self.pollers.answer(key, http::json_response(&body), self.now);
+            // Requests received after the poll are processed in the next loop iteration.
+            self.ready.push(EventSource::Poller(key));
         }
     }
 
-    fn ask_peers(&mut self) {
+    fn poll_peers(&mut self) {
         while let Some(ask) = self.core.next_ask(self.now) {
-            self.peers.ask(&ask, &self.hub, &self.accounts);
+            self.peers.start_poll(&ask, &self.event_loop, &self.usage);
         }
     }
 
-    fn hear_peers(&mut self) {
-        while let Some(PeerOutcome { name, answer }) = self.peers.next(self.now) {
-            match answer {
-                Ok(body) => self.take_peer_answer(&name, &body),
-                Err(StreamError(what)) => self.lose_peer_poll(&name, &what),
+    fn process_peer_results(&mut self) {
+        while let Some(PeerOutcome { name, result }) = self.peers.next_outcome(self.now) {
+            match result {
+                Ok(body) => self.process_peer_answer(&name, &body),
+                Err(StreamError(cause)) => self.fail_peer_poll(&name, &cause),
             }
         }
     }
 
-    fn take_peer_answer(&mut self, name: &ReplicaName, body: &[u8]) {
+    fn process_peer_answer(&mut self, name: &ReplicaName, body: &[u8]) {
         let answer: PollAnswer = match serde_json::from_slice(body) {
             Ok(answer) => answer,
-            Err(e) => return self.lose_peer_poll(name, &format_args!("an answer can't be read: {e}")),
+            Err(e) => return self.fail_peer_poll(name, &format_args!("invalid poll answer: {e}")),
         };
         let records: Vec<Record> = answer.results.iter().map(|event| event.record.clone()).collect();
         match self.core.peer_answered(name, answer, self.now) {
-            Ok(()) => records.iter().for_each(|record| self.purges.note(record)),
-            Err(error) => self.lose_peer_poll(name, &error),
+            Ok(()) => records.iter().for_each(|record| self.purges.add(record)),
+            Err(error) => self.fail_peer_poll(name, &error),
         }
     }
 
-    fn lose_peer_poll(&mut self, name: &ReplicaName, what: &dyn std::fmt::Display) {
+    fn fail_peer_poll(&mut self, name: &ReplicaName, cause: &dyn std::fmt::Display) {
         self.counters.peer_polls_failed += 1;
-        self.faults.warn(self.now, &format_args!("replica {name}: {what}"));
+        self.warnings
+            .warn(self.now, &format_args!("poll of replica {name} failed: {cause}; retrying after a pause"));
         self.core.peer_failed(name, self.now);
     }
 
     fn read_source(&mut self) -> bool {
         let Some(mut source) = self.source.take() else { return false };
-        let has_more = source.feed.on_ready(&mut self.shared, self.now);
+        let has_more = source.client.on_ready(&mut self.read_buffer, self.now);
         loop {
-            match source.feed.next_answer(self.now) {
-                Ok(Some(body)) => self.take_source_answer(&mut source, &body),
+            match source.client.next_answer(self.now) {
+                Ok(Some(body)) => self.process_source_answer(&mut source, &body),
                 Ok(None) => break,
-                Err(StreamError(what)) => {
-                    self.lose_source_poll(&mut source, &what);
+                Err(StreamError(cause)) => {
+                    self.fail_source_poll(&mut source, &cause);
                     break;
                 }
             }
@@ -386,92 +394,98 @@
         has_more
     }
 
-    fn follow_source(&mut self) {
+    fn poll_source(&mut self) {
         let Some(source) = &mut self.source else { return };
-        let is_lost = source.feed.poll_if_due(&self.hub, &self.accounts, self.now);
-        self.counters.source_polls_failed += u64::from(is_lost);
+        let has_failed = source.client.poll_if_due(&self.event_loop, &self.usage, self.now);
+        self.counters.source_polls_failed += u64::from(has_failed);
     }
 
-    fn lose_source_poll(&mut self, source: &mut Source, what: &dyn std::fmt::Display) {
+    fn fail_source_poll(&mut self, source: &mut Source, cause: &dyn std::fmt::Display) {
         self.counters.source_polls_failed += 1;
-        self.faults.warn(self.now, &format_args!("the change log: {what}"));
-        source.feed.disconnect(self.now);
+        self.warnings.warn(
+            self.now,
+            &format_args!("poll of the change log failed: {cause}; reconnecting after a pause"),
+        );
+        source.client.disconnect(self.now);
     }
 
-    fn take_source_answer(&mut self, source: &mut Source, body: &[u8]) {
+    fn process_source_answer(&mut self, source: &mut Source, body: &[u8]) {
         let answer: SourceAnswer = match serde_json::from_slice(body) {
             Ok(answer) => answer,
-            Err(e) => return self.lose_source_poll(source, &format_args!("an answer can't be read: {e}")),
+            Err(e) => return self.fail_source_poll(source, &format_args!("invalid answer: {e}")),
         };
-        if source.began_anew(&answer) {
+        if source.has_restarted(&answer) {
             self.counters.source_restarts += 1;
-            source.begin_anew(self.now);
-            return log::warn!(last = answer.last_seq; "replication: the change log began anew: asked for all");
+            source.restart(self.now);
+            return log::warn!(last = answer.last_seq; "replication: the change log restarted; requesting all events");
         }
-        let before = source.feed.last_seq;
+        let last_seq_before = source.client.last_seq;
         for event in &answer.results {
-            match source.feed.accept(event.seq, self.now) {
+            match source.client.accept(event.seq, self.now) {
                 SequenceCheck::Duplicate => continue,
                 SequenceCheck::GapRetried(last) => {
-                    let what = format_args!("the change log went from {last} to {}", event.seq);
-                    return self.faults.warn(self.now, &what);
+                    let message = format_args!(
+                        "sequence gap in the change log, from {last} to {}; requesting the events after {last} again",
+                        event.seq
+                    );
+                    return self.warnings.warn(self.now, &message);
                 }
                 SequenceCheck::GapAccepted(_) | SequenceCheck::Next => {
-                    self.take_event(source, event, answer.last_seq)
+                    self.apply_event(source, event, answer.last_seq)
                 }
             }
         }
-        if source.feed.last_seq == before {
-            source.feed.on_empty_answer(self.now);
+        if source.client.last_seq == last_seq_before {
+            source.client.on_empty_answer(self.now);
         }
     }
 
-    fn take_event(&mut self, source: &mut Source, event: &SourceEvent, last: u64) {
+    fn apply_event(&mut self, source: &mut Source, event: &SourceEvent, last_seq: u64) {
         source.last_event = Some(event.clone());
         self.counters.source_events += 1;
         let (records, errors) = source.list.apply(event);
-        errors.iter().for_each(|error| self.faults.warn(self.now, error));
+        errors.iter().for_each(|error| self.warnings.warn(self.now, error));
         let Some(known) = self.publish_all(records) else { return };
-        if source.list.rebase_if_restarted(known, last) {
+        if source.list.rebase_if_restarted(known, last_seq) {
             let (records, _) = source.list.apply(event);
             self.publish_all(records);
         }
     }
 
-    /// Publishes records; the version that is known where one of them is older.
+    /// Publishes records; returns the newest known version if a record is older than the known one.
     fn publish_all(&mut self, records: Vec<Record>) -> Option<myrtlegauge_replication::Version> {
         let mut newest_known = None;
         for record in records {
-            self.purges.note(&record);
+            self.purges.add(&record);
             match self.core.publish(record, self.now) {
                 Ok(_) => {}
                 Err(PublishError::Older { known, .. }) => newest_known = newest_known.max(Some(known)),
                 Err(error) => {
                     self.counters.records_refused += 1;
-                    self.faults.warn(self.now, &error);
+                    self.warnings.warn(self.now, &error);
                 }
             }
         }
         newest_known
     }
 
-    fn tidy(&mut self) {
-        if self.now < self.tidy_at {
+    fn sweep_if_due(&mut self) {
+        if self.now < self.sweep_at {
             return;
         }
-        self.tidy_at = self.now + TIDY_EVERY;
-        let cancelled = self.pollers.tidy(&mut self.shared, self.now);
+        self.sweep_at = self.now + SWEEP_INTERVAL;
+        let cancelled = self.pollers.sweep(&mut self.read_buffer, self.now);
         self.cancel(cancelled);
     }
 
-    /// Logs what was done and where the log stands.
+    /// Logs the counters and the state of the log.
     pub fn log_report(&mut self) {
         self.now = self.clock.now();
         let status = self.status();
         let counters = self.counters;
         let (members, lagging, watermark) = (status.members.len(), status.lagging().len(), status.watermark);
         let (polls_answered, events_sent) = (counters.polls_answered, counters.events_sent);
-        let (bytes_in, bytes_out) = (self.accounts.bytes_in.current(), self.accounts.bytes_out.current());
+        let (bytes_in, bytes_out) = (self.usage.bytes_in.current(), self.usage.bytes_out.current());
         log::info!(
             polls_answered, events_sent, bytes_in, bytes_out, members, lagging, watermark,
             log = status.log.as_str(), standing:? = status.standing, connections = status.connections;
@@ -482,7 +496,7 @@
     }
 }
 
-fn config(terms: &ReplicaTerms, incarnation: Incarnation) -> ReplicaConfig {
+fn replica_config(terms: &ReplicaTerms, incarnation: Incarnation) -> ReplicaConfig {
     let name = ReplicaName(terms.name.clone());
     let peers = terms.peers.iter().map(|peer| ReplicaName(peer.name.clone())).collect();
     ReplicaConfig {
@@ -496,20 +510,20 @@
 
 impl Source {
     fn new(address: SocketAddr) -> Self {
-        let feed = ChangeLogClient::new(address, Who::Source).with_overlap();
-        Self { feed, list: SourceList::default(), last_event: None }
+        let client = ChangeLogClient::new(address, EventSource::Source).with_overlap();
+        Self { client, list: SourceList::default(), last_event: None }
     }
 
-    /// Whether its numbers went back, or the last event that was taken is another now.
-    fn began_anew(&self, answer: &SourceAnswer) -> bool {
-        let is_other = |event: &SourceEvent| {
+    /// Returns whether the sequence numbers went back, or the last accepted event differs from the one received now.
+    fn has_restarted(&self, answer: &SourceAnswer) -> bool {
+        let is_changed = |event: &SourceEvent| {
             self.last_event.as_ref().is_some_and(|last| last.seq == event.seq && last != event)
         };
-        answer.last_seq < self.feed.last_seq || answer.results.iter().any(is_other)
+        answer.last_seq < self.client.last_seq || answer.results.iter().any(is_changed)
     }
 
-    fn begin_anew(&mut self, now: Duration) {
-        self.feed.resync_from_start(now);
+    fn restart(&mut self, now: Duration) {
+        self.client.resync_from_start(now);
         self.list.on_log_restart();
         self.last_event = None;
     }
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -1,4 +1,5 @@
-//! What an operator is shown of a replica: asked for by `GET /status`, told as JSON, printed by `myrtlegauge replica status`.
+//! The status of a replica for operators: served as JSON under `GET /status` and printed by
+//! `myrtlegauge replica status`.
 
 use crate::errors::StatusError;
 use bytes::BytesMut;
@@ -14,36 +15,36 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Purges that are shown: the latest.
-const PURGES_MOST: usize = 1000;
-/// Bytes read of an answer at once.
-const CHUNK: usize = 64 * 1024;
+/// The maximum number of purges in a status; the latest are kept.
+const MAX_PURGES: usize = 1000;
+/// The size of the buffer for reading a response.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A replica as an operator sees it.
+/// The status of a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// The name of the replica.
     pub name: String,
-    /// The log in which its numbers count.
+    /// The id of the log that the sequence numbers belong to.
     pub log: String,
-    /// How far it is after its start.
+    /// The progress of the start-up.
     pub standing: ReplicaStanding,
-    /// All of its log up to here is in force.
+    /// The sequence number up to which the whole log is in force.
     pub watermark: u64,
-    /// The dispatchers that it knows.
+    /// The known dispatchers.
     pub members: Vec<MemberStatus>,
     /// The latest purges.
     pub purges: Vec<PurgeStatus>,
-    /// Connections of pollers.
+    /// The number of connections from pollers.
     pub connections: usize,
-    /// What passed since its start.
+    /// The traffic since the start of the replica.
     pub traffic: Traffic,
 }
 
-/// What passed at a replica's sockets since its start: of pollers, peers and the platform's change log.
+/// The traffic on the sockets of a replica since its start, including pollers, peers and the platform's change log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Polls of dispatchers and peers that were answered.
+    /// Answered polls of dispatchers and peers.
     pub polls_answered: u64,
     /// Bytes read.
     pub bytes_in: u64,
@@ -51,31 +52,31 @@
     pub bytes_out: u64,
 }
 
-/// A dispatcher.
+/// The status of a dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The name of the dispatcher.
     pub name: String,
-    /// When its process started, Unix milliseconds.
+    /// The start time of the process, in Unix milliseconds.
     pub incarnation: u64,
-    /// Where it polls; none: it has left.
+    /// The replica that it polls; none if it has left.
     pub replica: Option<String>,
-    /// Attached here: what it has acknowledged.
+    /// The acknowledged sequence number, if it is attached to this replica.
     pub acknowledged: Option<u64>,
-    /// Attached here: whether its attach is complete.
+    /// Whether it has completed its attachment to this replica.
     pub attached: bool,
 }
 
-/// A purge.
+/// The status of a purge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PurgeStatus {
-    /// What is purged.
+    /// The purged object or group.
     #[serde(flatten)]
     pub target: PurgeTarget,
-    /// Unix milliseconds.
+    /// The time of the purge, in Unix milliseconds.
     #[serde(rename = "time")]
     pub unix_ms: u64,
-    /// Whether it is in force.
+    /// Whether the purge is in force.
     #[serde(flatten)]
     pub state: PurgeState,
 }
@@ -84,18 +85,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum PurgeState {
-    /// It is, and was known to be so long ago.
+    /// The purge is in force at every dispatcher.
     InForce {
-        /// Milliseconds.
+        /// The time since the replica learnt this, in milliseconds.
         known_for_ms: u64,
     },
-    /// It is not, as far as the replica knows.
+    /// The replica does not know the purge to be in force.
     Outstanding {
-        /// How long the replica has had it, milliseconds.
+        /// The time since the replica received the purge, in milliseconds.
         known_for_ms: u64,
-        /// Dispatchers that lag.
+        /// The lagging dispatchers.
         dispatchers: Vec<String>,
-        /// Replicas that it waits for.
+        /// The replicas that the purge waits for.
         replicas: Vec<ReplicaStatus>,
     },
 }
@@ -103,13 +104,13 @@
 /// A replica that a purge waits for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Its name.
+    /// The name of the replica.
     pub name: String,
-    /// Why it is waited for.
+    /// The reason for waiting.
     pub reason: String,
 }
 
-/// The latest purges that came by this replica, by their time.
+/// The latest purges that this replica has received, ordered by time.
 #[derive(Debug, Default)]
 pub struct LatestPurges {
     by_name: BTreeMap<RecordName, u64>,
@@ -117,8 +118,8 @@
 }
 
 impl LatestPurges {
-    /// Notes a record, if it is a purge.
-    pub fn note(&mut self, record: &Record) {
+    /// Adds the record if it is a purge.
+    pub fn add(&mut self, record: &Record) {
         let Record::Purge(purge) = record else { return };
         let name = match &purge.target {
             PurgeTarget::Object(object) => RecordName::Object(object.clone()),
@@ -133,14 +134,14 @@
         }
         self.by_name.insert(name.clone(), purge.unix_ms);
         self.by_time.insert((purge.unix_ms, name), purge.target.clone());
-        if self.by_time.len() > PURGES_MOST
+        if self.by_time.len() > MAX_PURGES
             && let Some(((_, oldest), _)) = self.by_time.pop_first()
         {
             self.by_name.remove(&oldest);
         }
     }
 
-    /// Those that the core still knows, the latest first, with its verdicts.
+    /// Returns the purges that the core still knows with their verdicts, the latest first.
     pub fn verdicts(&self, core: &mut Replica, now: Duration) -> Vec<PurgeStatus> {
         let purges = self.by_time.iter().rev();
         let status = |((unix_ms, name), target): (&(u64, RecordName), &PurgeTarget)| {
@@ -163,7 +164,7 @@
                     .into_iter()
                     .map(|lagging| ReplicaStatus {
                         name: lagging.name.0,
-                        reason: said(lagging.reason).to_owned(),
+                        reason: describe(lagging.reason).to_owned(),
                     })
                     .collect(),
             }),
@@ -172,7 +173,7 @@
     }
 }
 
-fn said(reason: Reason) -> &'static str {
+fn describe(reason: Reason) -> &'static str {
     match reason {
         Reason::StartUp => "it has started lately",
         Reason::NotHeard => "it does not answer",
@@ -196,7 +197,7 @@
 }
 
 impl Status {
-    /// Names of dispatchers that lag behind a purge, each once.
+    /// Returns the names of dispatchers that lag behind a purge, each once.
     pub fn lagging(&self) -> Vec<&str> {
         let mut names: Vec<&str> =
             self.purges.iter().flat_map(PurgeStatus::lagging).map(String::as_str).collect();
@@ -205,10 +206,10 @@
         names
     }
 
-    /// The status as a text for a terminal.
+    /// Formats the status as text for a terminal.
     pub fn print(&self) -> String {
         let mut text = String::new();
-        self.write(&mut text).expect("a text takes all that is written");
+        self.write(&mut text).expect("writing to a string cannot fail");
         text
     }
 
@@ -270,18 +271,18 @@
     let mut stream = TcpStream::connect_timeout(&address, timeout).map_err(connection)?;
     let request = format!("GET /status HTTP/1.1\r\nHost: {address}\r\n\r\n");
     stream.write_all(request.as_bytes()).map_err(connection)?;
-    let (mut inbound, mut chunk) = (BytesMut::new(), vec![0; CHUNK]);
+    let (mut inbound, mut buffer) = (BytesMut::new(), vec![0; READ_BUFFER_BYTES]);
     loop {
         let remaining = deadline.saturating_duration_since(Instant::now());
         if remaining.is_zero() {
             return Err(connection(ErrorKind::TimedOut.into()));
         }
         stream.set_read_timeout(Some(remaining)).map_err(connection)?;
-        let read = stream.read(&mut chunk).map_err(connection)?;
+        let read = stream.read(&mut buffer).map_err(connection)?;
         if read == 0 {
             return Err(StatusError::Truncated(address));
         }
-        inbound.extend_from_slice(&chunk[..read]);
+        inbound.extend_from_slice(&buffer[..read]);
         let invalid = |StreamError(cause)| StatusError::Invalid { address, cause: cause.to_owned() };
         if let Some(body) = changelog::next_answer(&mut inbound).map_err(invalid)? {
             return Ok(body);
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas on loopback in threads of the test, and raw pollers.
+//! Replicas on loopback, each in its own thread of the test process, and raw polling connections.
 #![allow(dead_code)]
 
 use calloop::EventLoop;
@@ -13,16 +13,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long something that has to come is waited for; far over what it takes, for the machine may be busy.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// How often the thread of a replica looks for orders of its test.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// The time limit for expected events; far above what they take, since the machine may be busy.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
+/// The interval at which the thread of a replica checks for commands of its test.
+const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis() as u64
 }
 
-/// A free address; it stays free until it is listened at, as far as no other program takes it.
+/// Returns an address that was free a moment ago; another program could still take it.
 pub fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("an address")
@@ -46,76 +46,76 @@
     ReplicaPeer { name: name.to_owned(), address }
 }
 
-enum Order {
+enum Command {
     Publish(Record),
-    End,
+    Stop,
 }
 
-/// A replica in a thread of its own, ended with its owner.
-pub struct Running {
+/// A replica in its own thread, which is stopped on drop.
+pub struct ReplicaThread {
     pub address: SocketAddr,
-    orders: Sender<Order>,
+    commands: Sender<Command>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl ReplicaThread {
     pub fn start(terms: ReplicaTerms) -> Self {
-        let (orders, heard) = mpsc::channel();
-        let (tells, told) = mpsc::channel();
-        let thread = std::thread::spawn(move || serve(&terms, &heard, &tells));
-        let address = told.recv().expect("the replica starts");
-        Self { address, orders, thread: Some(thread) }
+        let (commands, command_receiver) = mpsc::channel();
+        let (address_sender, address_receiver) = mpsc::channel();
+        let thread = std::thread::spawn(move || serve(&terms, &command_receiver, &address_sender));
+        let address = address_receiver.recv().expect("the replica starts");
+        Self { address, commands, thread: Some(thread) }
     }
 
-    /// One without peers at a port of the system's choosing.
-    pub fn alone() -> Self {
+    /// Starts a replica without peers on a port chosen by the system.
+    pub fn without_peers() -> Self {
         Self::start(terms("a", "127.0.0.1:0".parse().expect("an address")))
     }
 
     pub fn publish(&self, record: Record) {
-        self.orders.send(Order::Publish(record)).expect("the replica runs");
+        self.commands.send(Command::Publish(record)).expect("the replica runs");
     }
 
     pub fn status(&self) -> Status {
-        status::fetch(self.address, PATIENCE).expect("a status")
+        status::fetch(self.address, TIMEOUT).expect("a status")
     }
 
-    /// Looks at the status until it is as wanted.
-    pub fn until(&self, what: &str, wanted: impl Fn(&Status) -> bool) -> Status {
-        let end = Instant::now() + PATIENCE;
+    /// Polls the status until it satisfies the condition, and returns it.
+    pub fn wait_for_status(&self, description: &str, is_expected: impl Fn(&Status) -> bool) -> Status {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let status = self.status();
-            if wanted(&status) {
+            if is_expected(&status) {
                 return status;
             }
-            assert!(Instant::now() < end, "{what}: {status:?}");
+            assert!(Instant::now() < deadline, "{description}: {status:?}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for ReplicaThread {
     fn drop(&mut self) {
-        let _ = self.orders.send(Order::End);
-        let ended = self.thread.take().map(JoinHandle::join);
+        let _ = self.commands.send(Command::Stop);
+        let joined = self.thread.take().map(JoinHandle::join);
         if !std::thread::panicking() {
-            ended.expect("a thread").expect("the replica's thread ends well");
+            joined.expect("a thread").expect("the thread of the replica ends without a panic");
         }
     }
 }
 
-fn serve(terms: &ReplicaTerms, orders: &Receiver<Order>, tells: &Sender<SocketAddr>) {
-    let mut turns = EventLoop::<Service>::try_new().expect("a loop");
-    let mut service = Service::start(turns.handle(), terms).expect("a replica");
-    tells.send(service.address().expect("an address")).expect("the test waits for it");
+fn serve(terms: &ReplicaTerms, commands: &Receiver<Command>, address_sender: &Sender<SocketAddr>) {
+    let mut event_loop = EventLoop::<Service>::try_new().expect("an event loop");
+    let mut service = Service::start(event_loop.handle(), terms).expect("a replica");
+    address_sender.send(service.address().expect("an address")).expect("the test waits for it");
     loop {
-        match orders.try_recv() {
-            Ok(Order::Publish(record)) => service.publish(record).expect("a record that is taken"),
-            Ok(Order::End) => return,
+        match commands.try_recv() {
+            Ok(Command::Publish(record)) => service.publish(record).expect("the record is accepted"),
+            Ok(Command::Stop) => return,
             Err(_) => {}
         }
-        let timeout = service.poll_timeout().min(LOOK_EVERY);
-        turns.dispatch(timeout, &mut service).expect("the loop goes on");
+        let timeout = service.poll_timeout().min(COMMAND_POLL_INTERVAL);
+        event_loop.dispatch(timeout, &mut service).expect("the event loop runs");
         service.process_events();
     }
 }
@@ -124,14 +124,14 @@
     Record::Purge(Purge { target: PurgeTarget::Object(object.to_owned()), unix_ms: unix_ms() })
 }
 
-/// A host line that is long.
-pub fn long_line(name: &str, bytes: usize) -> Record {
+/// A host entry with an address of the given length.
+pub fn large_host_entry(name: &str, bytes: usize) -> Record {
     let endpoint = json!({"name": name, "status": "active", "address": "x".repeat(bytes)});
     Record::HostLine(HostLine { name: name.to_owned(), version: Version(1), endpoint })
 }
 
-/// The objects whose purges an answer tells, in order.
-pub fn purged(answer: &PollAnswer) -> Vec<String> {
+/// The objects of the purges in an answer, in order.
+pub fn purged_objects(answer: &PollAnswer) -> Vec<String> {
     let object = |record: &Record| match record {
         Record::Purge(Purge { target: PurgeTarget::Object(object), .. }) => Some(object.clone()),
         _ => None,
@@ -139,43 +139,43 @@
     answer.results.iter().filter_map(|event| object(&event.record)).collect()
 }
 
-/// How a purge stands by a status.
-pub fn state(status: &Status, object: &str) -> Option<PurgeState> {
+/// The state of the purge of an object in a status.
+pub fn purge_state(status: &Status, object: &str) -> Option<PurgeState> {
     let wanted = PurgeTarget::Object(object.to_owned());
     status.purges.iter().find(|purge| purge.target == wanted).map(|purge| purge.state.clone())
 }
 
 pub fn is_in_force(status: &Status, object: &str) -> bool {
-    matches!(state(status, object), Some(PurgeState::InForce { .. }))
+    matches!(purge_state(status, object), Some(PurgeState::InForce { .. }))
 }
 
-/// A raw poller: its bytes are written and read by the test.
-pub struct Raw(pub TcpStream);
+/// A polling connection whose bytes are written and read by the test.
+pub struct RawPoller(pub TcpStream);
 
-impl Raw {
+impl RawPoller {
     pub fn connect(to: SocketAddr) -> Self {
-        let stream = TcpStream::connect(to).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        let stream = TcpStream::connect(to).expect("the replica listens");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
         Self(stream)
     }
 
     pub fn write(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).expect("it is taken");
+        self.0.write_all(text.as_bytes()).expect("the bytes are written");
     }
 
-    pub fn ask(&mut self, query: &str) {
+    pub fn send_poll(&mut self, query: &str) {
         self.write(&format!("GET /changes?{query} HTTP/1.1\r\nHost: replica\r\n\r\n"));
     }
 
-    /// One whole answer: its status line's code and its body.
-    pub fn answer(&mut self) -> (u16, String) {
+    /// Reads one complete response; returns its status code and its body.
+    pub fn read_response(&mut self) -> (u16, String) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
             assert_eq!(
                 self.0.read(&mut byte).expect("an answer"),
                 1,
-                "it closes: {:?}",
+                "the connection was closed after {:?}",
                 String::from_utf8_lossy(&head)
             );
             head.push(byte[0]);
@@ -188,32 +188,32 @@
         (code, String::from_utf8(body).expect("a text"))
     }
 
-    pub fn poll_answer(&mut self) -> PollAnswer {
-        let (code, body) = self.answer();
+    pub fn read_poll_answer(&mut self) -> PollAnswer {
+        let (code, body) = self.read_response();
         assert_eq!(code, 200, "{body}");
         serde_json::from_str(&body).expect("an answer to a poll")
     }
 
     pub fn poll(&mut self, query: &str) -> PollAnswer {
-        self.ask(query);
-        self.poll_answer()
+        self.send_poll(query);
+        self.read_poll_answer()
     }
 
-    /// Whether nothing comes for so long.
-    pub fn is_silent_for(&mut self, span: Duration) -> bool {
-        self.0.set_read_timeout(Some(span)).expect("a timeout");
+    /// Returns whether nothing arrives for the given time.
+    pub fn receives_nothing_for(&mut self, duration: Duration) -> bool {
+        self.0.set_read_timeout(Some(duration)).expect("a timeout");
         let peeked = self.0.peek(&mut [0]);
-        self.0.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        self.0.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
         matches!(peeked, Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut))
     }
 
-    /// Whether the other side has closed, once what it sent was read.
+    /// Returns whether the peer has closed the connection, once everything it sent was read.
     pub fn is_closed(&mut self) -> bool {
         !matches!(self.0.read(&mut [0]), Ok(1..))
     }
 }
 
-/// A raw dispatcher's query.
+/// The query of a poll by a dispatcher.
 pub fn member_query(name: &str, log: &str, since: u64, timeout_ms: u64) -> String {
     let log = if log.is_empty() { String::new() } else { format!("&log={log}&whole={since}") };
     format!("since={since}&timeout={timeout_ms}{log}&role=dispatcher&name={name}&incarnation=1&attachment=1")
--- a/crates/replica/tests/requests.rs
+++ b/crates/replica/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests as bytes: whole, split, bad, and noise.
+//! Parsing of requests: complete, split, invalid, and random bytes.
 
 use bytes::BytesMut;
 use myrtlegauge_replica::RequestError;
@@ -9,12 +9,12 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-fn read(text: &str) -> Result<Option<Request>, RequestError> {
+fn parse(text: &str) -> Result<Option<Request>, RequestError> {
     http::next_request(&mut BytesMut::from(text))
 }
 
-fn read_query(query: &str) -> Result<PollRequest, RequestError> {
-    match read(&format!("GET /changes?{query} HTTP/1.1\r\nHost: a\r\n\r\n"))? {
+fn parse_query(query: &str) -> Result<PollRequest, RequestError> {
+    match parse(&format!("GET /changes?{query} HTTP/1.1\r\nHost: a\r\n\r\n"))? {
         Some(Request::Poll(request)) => Ok(request),
         other => panic!("{query}: {other:?}"),
     }
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn the_platforms_own_poll_is_a_readers() {
-    let request = read_query("since=7&timeout=500").expect("a poll");
+fn a_poll_without_a_role_is_that_of_a_reader() {
+    let request = parse_query("since=7&timeout=500").expect("a poll");
     let reader = PollRequest {
         log: None,
         since: Sequence(7),
@@ -49,16 +49,16 @@
 }
 
 #[test]
-fn polls_of_dispatchers_and_replicas_are_read_as_they_are_written() {
+fn queries_of_dispatchers_and_replicas_survive_a_round_trip() {
     let replica = Poller::Replica { name: ReplicaName("b".to_owned()), own_log: LogId("b-18".to_owned()) };
     for request in [dispatcher(), PollRequest { poller: replica, ..dispatcher() }] {
-        assert_eq!(read_query(&request.to_query()), Ok(request));
+        assert_eq!(parse_query(&request.to_query()), Ok(request));
     }
 }
 
 #[test]
-fn a_bad_query_is_refused_with_what_to_do() {
-    let bad = [
+fn an_invalid_query_is_refused_with_its_cause_and_remedy() {
+    let invalid_queries = [
         "since=-1",
         "since=seven",
         "since=18446744073709551616",
@@ -71,51 +71,51 @@
         "since=1&role=replica&name=a",
         "whole=minus",
     ];
-    for query in bad {
-        let error = read_query(query).expect_err(query);
+    for query in invalid_queries {
+        let error = parse_query(query).expect_err(query);
         assert!(matches!(error, RequestError::Poll(_)), "{query}: {error:?}");
         assert!(error.status().starts_with("400 "), "{query}");
-        assert!(error.to_string().contains(':'), "what is wrong, and what to do: {error}");
+        assert!(error.to_string().contains(':'), "the error names the cause and the remedy: {error}");
     }
     assert_eq!(
-        read_query("since=1&role=dispatcher&name=a&incarnation=1"),
+        parse_query("since=1&role=dispatcher&name=a&incarnation=1"),
         Err(RequestError::Poll(PollError::Missing("attachment")))
     );
 }
 
 #[test]
-fn other_requests_are_refused_by_kind() {
-    let refused = |text: &str| read(text).map(|_| ()).expect_err(text);
-    assert_eq!(read("GET /status HTTP/1.1\r\n\r\n"), Ok(Some(Request::Status)));
+fn unsupported_requests_are_refused_with_specific_errors() {
+    let refused = |text: &str| parse(text).map(|_| ()).expect_err(text);
+    assert_eq!(parse("GET /status HTTP/1.1\r\n\r\n"), Ok(Some(Request::Status)));
     assert_eq!(refused("GET / HTTP/1.1\r\n\r\n"), RequestError::Path("/".to_owned()));
     assert_eq!(refused("POST /changes HTTP/1.1\r\n\r\n"), RequestError::Method("POST".to_owned()));
     assert_eq!(refused("GET /status HTTP/1.1\r\nContent-Length: 5\r\n\r\n"), RequestError::Body);
     assert_eq!(refused("GET /status HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), RequestError::Body);
     assert_eq!(refused("\u{1}\u{2} nonsense\r\n\r\n"), RequestError::NotHttp);
-    let many: String = (0..40).map(|number| format!("a{number}: b\r\n")).collect();
+    let many_headers: String = (0..40).map(|number| format!("a{number}: b\r\n")).collect();
     assert_eq!(
-        refused(&format!("GET /status HTTP/1.1\r\n{many}\r\n")),
+        refused(&format!("GET /status HTTP/1.1\r\n{many_headers}\r\n")),
         RequestError::HeadTooLong { max_bytes: MAX_HEAD_BYTES }
     );
 }
 
 #[test]
-fn a_head_without_end_is_refused_at_the_bound() {
-    let begun = "GET /changes?since=1&log=".to_owned();
-    let within = format!("{begun}{}", "x".repeat(MAX_HEAD_BYTES - begun.len()));
-    assert_eq!(read(&within), Ok(None), "it may still become whole");
-    assert_eq!(read(&format!("{within}x")), Err(RequestError::HeadTooLong { max_bytes: MAX_HEAD_BYTES }));
+fn an_endless_head_is_refused_above_the_maximum_size() {
+    let start = "GET /changes?since=1&log=".to_owned();
+    let longest = format!("{start}{}", "x".repeat(MAX_HEAD_BYTES - start.len()));
+    assert_eq!(parse(&longest), Ok(None), "the head may still be completed");
+    assert_eq!(parse(&format!("{longest}x")), Err(RequestError::HeadTooLong { max_bytes: MAX_HEAD_BYTES }));
 }
 
 #[test]
-fn requests_split_anywhere_are_read_one_after_the_other() {
+fn requests_split_at_any_byte_are_parsed_in_order() {
     let query = dispatcher().to_query();
     let stream = format!("GET /changes?{query} HTTP/1.1\r\nHost: a\r\n\r\nGET /status HTTP/1.1\r\n\r\n");
     for at in 0..=stream.len() {
         let (mut inbound, mut requests) = (BytesMut::new(), Vec::new());
         for part in [&stream[..at], &stream[at..]] {
             inbound.extend_from_slice(part.as_bytes());
-            while let Some(request) = http::next_request(&mut inbound).expect("it is well-formed") {
+            while let Some(request) = http::next_request(&mut inbound).expect("the request is well-formed") {
                 requests.push(request);
             }
         }
@@ -124,21 +124,21 @@
 }
 
 #[test]
-fn an_error_answer_says_its_status_and_closes() {
-    let answer = http::error_answer(&RequestError::Poll(PollError::Missing("name")));
-    let text = String::from_utf8(answer.to_vec()).expect("a text");
+fn an_error_response_has_its_status_and_closes_the_connection() {
+    let response = http::error_response(&RequestError::Poll(PollError::Missing("name")));
+    let text = String::from_utf8(response.to_vec()).expect("a text");
     assert!(text.starts_with("HTTP/1.1 400 Bad Request\r\n"), "{text}");
     assert!(text.contains("\r\nConnection: close\r\n") && text.contains("a poll without `name=`"), "{text}");
 }
 
 proptest! {
     #[test]
-    fn no_bytes_bring_the_parser_down(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bytes_do_not_panic_the_parser(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = http::next_request(&mut BytesMut::from(bytes.as_slice()));
     }
 
     #[test]
-    fn no_query_brings_the_parser_down(query in "[a-z0-9=&%+.-]{0,80}") {
-        let _ = read(&format!("GET /changes?{query} HTTP/1.1\r\n\r\n"));
+    fn random_queries_do_not_panic_the_parser(query in "[a-z0-9=&%+.-]{0,80}") {
+        let _ = parse(&format!("GET /changes?{query} HTTP/1.1\r\n\r\n"));
     }
 }
