--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line arguments.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
@@ -8,19 +8,20 @@
 
 /// A traffic router for a two-tier cache.
 ///
-/// Without a subcommand it is the dispatcher, as the platform starts it: it reads the JSON file that ROUTER_CONFIG names.
-/// Everything else is told in an operator file of S-expressions.
+/// Without a subcommand it runs the dispatcher, as the platform starts it: it reads the JSON file that ROUTER_CONFIG names.
+/// Everything else is configured by an operator file of S-expressions.
 #[derive(Parser)]
 #[command(
     name = "myrtlegauge",
     version,
-    after_help = "Exit codes: 0 done; 1 failed while running; 2 unusable arguments or operator file."
+    after_help = "Exit codes: 0 success; 1 failed while running; 2 invalid arguments or operator file."
 )]
 pub struct Arguments {
     #[command(subcommand)]
     pub command: Command,
 }
 
+// The format of log records.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum LogForm {
     Text,
@@ -36,134 +37,139 @@
     }
 }
 
+// The control service that a `zone` subcommand connects to, and the time limit.
 #[derive(clap::Args)]
-pub struct Asked {
-    /// Where the service listens.
+pub struct ServiceArguments {
+    /// Address of the service.
     #[arg(long, default_value = "127.0.0.1:18000")]
     pub address: SocketAddr,
-    /// Milliseconds to wait for the answer.
-    #[arg(long, default_value_t = 2000)]
-    pub patience_ms: u64,
+    /// Time limit for the response, in milliseconds.
+    #[arg(long = "patience-ms", value_name = "PATIENCE_MS", default_value_t = 2000)]
+    pub timeout_ms: u64,
 }
 
+// The subcommands of `zone`.
 #[derive(Subcommand)]
-pub enum Zone {
-    /// Each zone's stage, part, epoch and step, what holds it back, and who says what.
+pub enum ZoneCommand {
+    /// Show the stage, traffic fraction, epoch and step of each zone, what holds it back, and the votes on it.
     Status {
         #[command(flatten)]
-        asked: Asked,
-        /// Who voted what, too.
+        service: ServiceArguments,
+        /// Also show the vote of each member.
         #[arg(long)]
         votes: bool,
     },
-    /// Leave a zone, as far as the others bear its traffic, until it is returned to by hand.
+    /// Stop sending traffic to a zone, as far as the other zones can take its traffic, until `zone return`.
     Leave {
         zone: String,
         #[command(flatten)]
-        asked: Asked,
+        service: ServiceArguments,
     },
-    /// Keep a zone as it is, whatever is seen of it.
+    /// Keep a zone in its present state, whatever is observed of it.
     Hold {
         zone: String,
         #[command(flatten)]
-        asked: Asked,
+        service: ServiceArguments,
     },
-    /// Take back an order; a zone that was left is returned to, in steps, from now on.
+    /// Withdraw a `leave` or `hold`; traffic to a zone that was left resumes in steps from now on.
     Return {
         zone: String,
         #[command(flatten)]
-        asked: Asked,
+        service: ServiceArguments,
     },
 }
 
+// The subcommands of `replica`.
 #[derive(Subcommand)]
-pub enum ReplicaOrder {
-    /// Show a running replica: its log, its watermark, its members, and which purges are in force or who lags.
+pub enum ReplicaCommand {
+    /// Show a running replica: its log, watermark and members, the purges in force, and the dispatchers that lag.
     Status {
-        /// Where the replica listens.
+        /// Address of the replica.
         #[arg(default_value = "127.0.0.1:18100")]
         address: SocketAddr,
-        /// Milliseconds to wait for the answer.
-        #[arg(long, default_value_t = 2000)]
-        patience_ms: u64,
+        /// Time limit for the response, in milliseconds.
+        #[arg(long = "patience-ms", value_name = "PATIENCE_MS", default_value_t = 2000)]
+        timeout_ms: u64,
     },
 }
 
+// The subcommands of `myrtlegauge`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run the control service: the decision module's choices for other proxies, over xDS.
+    /// Run the control service, which sends the choices of the decision module to other proxies over xDS.
     ///
-    /// SIGTERM ends it, SIGHUP reads the hosts of FILE again, SIGUSR1 logs its counters. Proxies whose lease is not
-    /// renewed shed by themselves once it is over.
+    /// SIGTERM stops it, SIGHUP reloads the hosts of FILE, SIGUSR1 logs its counters. A proxy sheds by itself once its
+    /// lease expires without a renewal.
     Control {
         /// The operator file.
         file: PathBuf,
-        /// How log records are written, whatever the file says.
+        /// Format of log records; overrides the operator file.
         #[arg(long)]
         log_form: Option<LogForm>,
     },
-    /// Show the proxies of a running control service: what each accepted, refused and why, its lag and its lease.
+    /// Show the proxies of a running control service: what each accepted and refused, why, its lag and its lease.
     Status {
-        /// Where the service listens.
+        /// Address of the service.
         #[arg(default_value = "127.0.0.1:18000")]
         address: SocketAddr,
-        /// Milliseconds to wait for the answer.
-        #[arg(long, default_value_t = 2000)]
-        patience_ms: u64,
+        /// Time limit for the response, in milliseconds.
+        #[arg(long = "patience-ms", value_name = "PATIENCE_MS", default_value_t = 2000)]
+        timeout_ms: u64,
     },
-    /// Run a dispatcher that is told in an operator file and follows control services on zones.
+    /// Run a dispatcher that is configured by an operator file and follows the zone decisions of control services.
     ///
-    /// SIGTERM ends it, SIGHUP reads where the change log is again, SIGUSR1 logs its counters.
+    /// SIGTERM stops it, SIGHUP reloads the address of the change log, SIGUSR1 logs its counters.
     Dispatch {
         /// The operator file.
         file: PathBuf,
-        /// How log records are written, whatever the file says.
+        /// Format of log records; overrides the operator file.
         #[arg(long)]
         log_form: Option<LogForm>,
     },
     /// Run a replica of the change log, which dispatchers poll in place of the platform's.
     ///
-    /// SIGTERM ends it, SIGUSR1 logs its counters.
+    /// SIGTERM stops it, SIGUSR1 logs its counters.
     #[command(args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
     Replica {
         #[command(subcommand)]
-        order: Option<ReplicaOrder>,
+        command: Option<ReplicaCommand>,
         /// The operator file.
         #[arg(required = true)]
         file: Option<PathBuf>,
-        /// How log records are written, whatever the file says.
+        /// Format of log records; overrides the operator file.
         #[arg(long)]
         log_form: Option<LogForm>,
     },
-    /// Show zones, and leave, hold or return to one, at a running control service.
+    /// Show the zones of a running control service, and leave, hold or return to a zone.
     Zone {
         #[command(subcommand)]
-        order: Zone,
+        command: ZoneCommand,
     },
-    /// Play an experiment in the model of the fleets, over several seeds on all cores.
+    /// Run an experiment in the fleet model, with several seeds on all cores.
     ///
-    /// Without a file the built-in one runs, a Saturday in small. The table has means with their 95% confidence, and says
-    /// whether the difference to a baseline may be noise. Exit code 1 if the module broke a rule.
+    /// Without a file, the built-in experiment runs: a small model of a Saturday. The table shows means with their 95%
+    /// confidence intervals, and whether the difference to a baseline may be noise. Exit code 1 if the decision module
+    /// broke a rule.
     Experiment {
         file: Option<PathBuf>,
-        /// Runs of each brain, whatever the file says.
+        /// Number of runs per policy; overrides the file.
         #[arg(long)]
         seeds: Option<u64>,
-        /// Write each run's figures there, as CSV.
+        /// Write the figures of each run to this CSV file.
         #[arg(long)]
         csv: Option<PathBuf>,
         /// Print one JSON object instead of the table.
         #[arg(long)]
         json: bool,
     },
-    /// Check a whole operator file; every fault is told as FILE:LINE:COLUMN, exit code 2 if there is one.
+    /// Check an operator file and report every error as FILE:LINE:COLUMN; exit code 2 if there are any.
     Check {
         #[arg(required_unless_present = "explain")]
         file: Option<PathBuf>,
-        /// Print all that an operator file may say, with units and what holds where it is left out.
+        /// Print everything that an operator file may contain, with units and defaults.
         #[arg(long)]
         explain: bool,
     },
-    /// Print completions for a shell.
+    /// Print shell completions.
     Completions { shell: Shell },
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
-//! `myrtlegauge`: without arguments the dispatcher, as the platform starts it; with them the subcommands.
+//! `myrtlegauge`: runs the dispatcher without arguments, as the platform starts it, and subcommands with them.
 
 mod arguments;
 
-use arguments::{Arguments, Asked, Command, LogForm, ReplicaOrder, Zone};
+use arguments::{Arguments, Command, LogForm, ReplicaCommand, ServiceArguments, ZoneCommand};
 use clap::{CommandFactory, Parser};
 use myrtlegauge_control::shown;
 use myrtlegauge_model as model;
@@ -12,47 +12,47 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// What scripts go by.
-const UNUSABLE: u8 = 2;
+/// The exit code for invalid arguments or an invalid operator file.
+const INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     if std::env::args_os().len() <= 1 {
         operator::logs::start_plain();
-        return ended(myrtlegauge_dispatcher::program::run());
+        return exit_code(myrtlegauge_dispatcher::program::run());
     }
     match Arguments::parse().command {
         Command::Control { file, log_form } => {
-            let Ok(told) = read(&file) else { return ExitCode::from(UNUSABLE) };
-            operator::logs::start(log_form.map_or(told.log_form, Into::into), told.log_level);
-            ended(myrtlegauge_control::service::run(file, &told))
+            let Ok(settings) = read_operator_file(&file) else { return ExitCode::from(INVALID_INPUT) };
+            operator::logs::start(log_form.map_or(settings.log_form, Into::into), settings.log_level);
+            exit_code(myrtlegauge_control::service::run(file, &settings))
         }
-        Command::Status { address, patience_ms } => {
-            let status = shown::ask(address, None, Duration::from_millis(patience_ms));
-            ended(status.map(|status| print!("{}", shown::print(&status))))
+        Command::Status { address, timeout_ms } => {
+            let status = shown::ask(address, None, Duration::from_millis(timeout_ms));
+            exit_code(status.map(|status| print!("{}", shown::print(&status))))
         }
         Command::Dispatch { file, log_form } => {
-            let Ok(told) = read(&file) else { return ExitCode::from(UNUSABLE) };
-            operator::logs::start(log_form.map_or(told.log_form, Into::into), told.log_level);
-            ended(myrtlegauge_follow::run(file, &told))
+            let Ok(settings) = read_operator_file(&file) else { return ExitCode::from(INVALID_INPUT) };
+            operator::logs::start(log_form.map_or(settings.log_form, Into::into), settings.log_level);
+            exit_code(myrtlegauge_follow::run(file, &settings))
         }
-        Command::Replica { order: Some(ReplicaOrder::Status { address, patience_ms }), .. } => {
-            let status = myrtlegauge_replica::status::fetch(address, Duration::from_millis(patience_ms));
-            ended(status.map(|status| print!("{}", status.print())))
+        Command::Replica { command: Some(ReplicaCommand::Status { address, timeout_ms }), .. } => {
+            let status = myrtlegauge_replica::status::fetch(address, Duration::from_millis(timeout_ms));
+            exit_code(status.map(|status| print!("{}", status.print())))
         }
-        Command::Replica { order: None, file, log_form } => replica(file.as_deref(), log_form),
-        Command::Zone { order } => {
-            let (asked, order, votes) = match &order {
-                Zone::Status { asked, votes } => (asked, None, *votes),
-                Zone::Leave { zone, asked } => (asked, Some((zone.as_str(), "leave")), false),
-                Zone::Hold { zone, asked } => (asked, Some((zone.as_str(), "hold")), false),
-                Zone::Return { zone, asked } => (asked, Some((zone.as_str(), "return")), false),
+        Command::Replica { command: None, file, log_form } => run_replica(file.as_deref(), log_form),
+        Command::Zone { command } => {
+            let (service, order, votes) = match &command {
+                ZoneCommand::Status { service, votes } => (service, None, *votes),
+                ZoneCommand::Leave { zone, service } => (service, Some((zone.as_str(), "leave")), false),
+                ZoneCommand::Hold { zone, service } => (service, Some((zone.as_str(), "hold")), false),
+                ZoneCommand::Return { zone, service } => (service, Some((zone.as_str(), "return")), false),
             };
-            let Asked { address, patience_ms } = *asked;
-            let status = shown::ask(address, order, Duration::from_millis(patience_ms));
-            ended(status.map(|status| print!("{}", shown::print_zones(&status, votes))))
+            let ServiceArguments { address, timeout_ms } = *service;
+            let status = shown::ask(address, order, Duration::from_millis(timeout_ms));
+            exit_code(status.map(|status| print!("{}", shown::print_zones(&status, votes))))
         }
         Command::Experiment { file, seeds, csv, json } => {
-            experiment(file.as_deref(), seeds, csv.as_deref(), json)
+            run_experiment(file.as_deref(), seeds, csv.as_deref(), json)
         }
         Command::Check { explain: true, .. } => {
             let mut text = String::new();
@@ -60,12 +60,12 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Command::Check { file, .. } => match file.as_deref().map(read) {
+        Command::Check { file, .. } => match file.as_deref().map(read_operator_file) {
             Some(Ok(file)) => {
                 println!("{} delivery services, {} hosts, no fault", file.services.len(), file.hosts.len());
                 ExitCode::SUCCESS
             }
-            _ => ExitCode::from(UNUSABLE),
+            _ => ExitCode::from(INVALID_INPUT),
         },
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Arguments::command(), "myrtlegauge", &mut std::io::stdout());
@@ -74,63 +74,69 @@
     }
 }
 
-/// Runs a replica until it is told to end.
-fn replica(file: Option<&Path>, log_form: Option<LogForm>) -> ExitCode {
-    let Some(Ok(told)) = file.map(read) else { return ExitCode::from(UNUSABLE) };
-    operator::logs::start(log_form.map_or(told.log_form, Into::into), told.log_level);
-    ended(myrtlegauge_replica::run(&told))
+/// Runs a replica until it is stopped by a signal.
+fn run_replica(file: Option<&Path>, log_form: Option<LogForm>) -> ExitCode {
+    let Some(Ok(settings)) = file.map(read_operator_file) else { return ExitCode::from(INVALID_INPUT) };
+    operator::logs::start(log_form.map_or(settings.log_form, Into::into), settings.log_level);
+    exit_code(myrtlegauge_replica::run(&settings))
 }
 
-fn ended<E: Display>(result: Result<(), E>) -> ExitCode {
+/// Prints an error to standard error; returns the exit code.
+fn exit_code<E: Display>(result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("myrtlegauge: {fault}");
+        Err(error) => {
+            eprintln!("myrtlegauge: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Reads an operator file; all that is wrong with it goes to standard error, a line each.
-fn read(path: &Path) -> Result<operator::OperatorFile, ()> {
+/// Reads an operator file; prints each error in it to standard error, one per line.
+fn read_operator_file(path: &Path) -> Result<operator::OperatorFile, ()> {
     let name = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| eprintln!("{name}: {e}"))?;
-    operator::read(&text).map_err(|faults| faults.iter().for_each(|fault| eprintln!("{name}:{fault}")))
+    let text =
+        std::fs::read_to_string(path).map_err(|e| eprintln!("{name}: cannot read the operator file: {e}"))?;
+    operator::read(&text).map_err(|errors| errors.iter().for_each(|error| eprintln!("{name}:{error}")))
 }
 
-/// Plays an experiment and tells what came of it.
-fn experiment(file: Option<&Path>, seeds: Option<u64>, csv: Option<&Path>, json: bool) -> ExitCode {
+/// Runs an experiment and prints its results.
+fn run_experiment(file: Option<&Path>, seeds: Option<u64>, csv: Option<&Path>, json: bool) -> ExitCode {
     let (name, text) = match file {
-        Some(path) => (path.display().to_string(), std::fs::read_to_string(path).map_err(|e| e.to_string())),
+        Some(path) => (
+            path.display().to_string(),
+            std::fs::read_to_string(path)
+                .map_err(|e| format!("{}: cannot read the experiment file: {e}", path.display())),
+        ),
         None => ("the built-in experiment".to_owned(), Ok(model::experiment::BUILT_IN.to_owned())),
     };
-    let read = text.and_then(|text| {
-        let lines = |faults: Vec<operator::Fault>| {
-            faults.iter().map(|fault| format!("{name}:{fault}")).collect::<Vec<_>>().join("\n")
+    let settings = text.and_then(|text| {
+        let to_lines = |errors: Vec<operator::Fault>| {
+            errors.iter().map(|error| format!("{name}:{error}")).collect::<Vec<_>>().join("\n")
         };
-        model::experiment::read(&text).map_err(lines)
+        model::experiment::read(&text).map_err(to_lines)
     });
-    let mut told = match read {
-        Ok(told) => told,
-        Err(faults) => {
-            eprintln!("{faults}");
-            return ExitCode::from(UNUSABLE);
+    let mut settings = match settings {
+        Ok(settings) => settings,
+        Err(errors) => {
+            eprintln!("{errors}");
+            return ExitCode::from(INVALID_INPUT);
         }
     };
-    told.seeds = seeds.unwrap_or(told.seeds).max(1);
-    let results = model::experiment::run(&told, |brain, seed| {
+    settings.seeds = seeds.unwrap_or(settings.seeds).max(1);
+    let results = model::experiment::run(&settings, |policy, seed| {
         if !json {
-            eprintln!("played {} seed {seed}", brain.name());
+            eprintln!("finished the run of {} with seed {seed}", policy.name());
         }
     });
     let results = match results {
         Ok(results) => results,
-        Err(fault) => return ended(Err(fault)),
+        Err(error) => return exit_code(Err(error)),
     };
     if let Some(path) = csv
         && let Err(e) = std::fs::write(path, results.csv())
     {
-        return ended(Err(format!("{}: {e}", path.display())));
+        return exit_code(Err(format!("cannot write the results to {}: {e}", path.display())));
     }
     if json {
         println!("{}", results.json());
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What tests of the program share: its start, its configuration, files of their own. Each test file uses a part of it.
+//! Helpers shared by the tests of the program: starting it, its configuration, temporary files. Each test file uses some
+//! of them.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -10,8 +11,8 @@
     Command::new(env!("CARGO_BIN_EXE_myrtlegauge"))
 }
 
-/// What the platform tells a dispatcher.
-pub fn config(listen: SocketAddr, changelog: SocketAddr, sockets: usize, known: &Value) -> Value {
+/// The configuration of a dispatcher, as the platform writes it.
+pub fn config(listen: SocketAddr, changelog: SocketAddr, sockets: usize, initial_events: &Value) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim_ms": 500.0, "aim_stretch": 1.6, "deadline_ms": 5000.0,
             "effect": effect, "group": "zone", "key_ttl_ms": 5000.0})
@@ -19,7 +20,7 @@
     json!({
         "name": "n1", "listen": listen.to_string(), "seed": "8c1f30d27a5be964",
         "changelog": changelog.to_string(),
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "known": known,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "known": initial_events,
         "settings": {
             "balancers": 2, "my_zone": 1, "discovery": "pushed", "weights": "rough", "resolution_ms": 2.0,
             "zones": ["hub", "edge"], "kinds": ["standard", "parent", "origin"],
@@ -37,23 +38,23 @@
     })
 }
 
-/// A request with these parameters, as a client of the front writes it.
+/// A FastCGI request with these parameters.
 pub fn request(params: &[(&str, &str)]) -> Vec<u8> {
     let record = |kind: u8, content: &[u8]| {
-        let long = (content.len() as u16).to_be_bytes();
-        [&[1, kind, 0, 1, long[0], long[1], 0, 0], content].concat()
+        let length = (content.len() as u16).to_be_bytes();
+        [&[1, kind, 0, 1, length[0], length[1], 0, 0], content].concat()
     };
     let pair = |(name, value): &(&str, &str)| {
         [&[name.len() as u8, value.len() as u8], name.as_bytes(), value.as_bytes()].concat()
     };
-    let told: Vec<u8> = params.iter().flat_map(pair).collect();
-    [record(1, &[0, 1, 1, 0, 0, 0, 0, 0]), record(4, &told), record(4, b""), record(5, b"")].concat()
+    let encoded: Vec<u8> = params.iter().flat_map(pair).collect();
+    [record(1, &[0, 1, 1, 0, 0, 0, 0, 0]), record(4, &encoded), record(4, b""), record(5, b"")].concat()
 }
 
-/// A file of its own for a test, taken away at its end.
-pub struct File(pub PathBuf);
+/// A temporary file of a test, removed on drop.
+pub struct TempFile(pub PathBuf);
 
-impl File {
+impl TempFile {
     pub fn new(name: &str, text: &str) -> Self {
         let path = std::env::temp_dir().join(format!("myrtlegauge-{}-{name}", std::process::id()));
         std::fs::write(&path, text).unwrap();
@@ -65,16 +66,16 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// Ends what a test has started.
-pub struct Ends(pub Child);
+/// A child process, killed on drop.
+pub struct KillOnDrop(pub Child);
 
-impl Drop for Ends {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
