--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -8,8 +8,8 @@
 
 /// A traffic router for a two-tier cache.
 ///
-/// Without a subcommand it runs the dispatcher, as the platform starts it: it reads the JSON file that ROUTER_CONFIG names.
-/// Everything else is configured by an operator file of S-expressions.
+/// Without a subcommand it runs the dispatcher, as the platform starts it: it reads the JSON file that ROUTER_CONFIG
+/// names. Everything else is configured by an operator file of S-expressions.
 #[derive(Parser)]
 #[command(
     name = "myrtlegauge",
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers shared by the tests of the program: starting it, its configuration, temporary files. Each test file uses some
-//! of them.
+//! Helpers shared by the tests of the program: starting it, its configuration, temporary files. Each test file uses
+//! some of them.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
--- a/crates/cli/tests/narrow.rs
+++ b/crates/cli/tests/narrow.rs
@@ -27,10 +27,10 @@
     Some((stream, response))
 }
 
-/// Guards against idle clients that take all descriptors, so that the dispatcher can neither poll the change log nor reach a
-/// host nor answer health requests. With the change log down, the dispatcher has to be ready within 10 s from its initial
-/// events. Idle clients then use up their share, and the change log, a new host connection and health requests must still
-/// get descriptors.
+/// Guards against idle clients that take all descriptors, so that the dispatcher can neither poll the change log nor
+/// reach a host nor answer health requests. With the change log down, the dispatcher has to be ready within 10 s from
+/// its initial events. Idle clients then use up their share, and the change log, a new host connection and health
+/// requests must still get descriptors.
 #[test]
 fn idle_clients_leave_descriptors_for_the_change_log_a_host_and_health_requests() {
     let host = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -122,9 +122,9 @@
     text.lines().skip(1).filter_map(row).collect()
 }
 
-/// Holds the platform's requirements on `run` in `deploy/balancer.toml`: without arguments the program is one dynamically
-/// linked process without children. It has only IPv4 TCP sockets, one of them listening, and opens no persistent file. The
-/// control service, its gRPC listeners and everything durable are off.
+/// Holds the platform's requirements on `run` in `deploy/balancer.toml`: without arguments the program is one
+/// dynamically linked process without children. It has only IPv4 TCP sockets, one of them listening, and opens no
+/// persistent file. The control service, its gRPC listeners and everything durable are off.
 #[test]
 fn without_arguments_the_program_opens_only_tcp_sockets_and_no_files() {
     let changelog = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/cli/tests/replicas.rs
+++ b/crates/cli/tests/replicas.rs
@@ -1,5 +1,5 @@
-//! Replicas and a dispatcher as processes: the dispatcher polls one replica, falls back to another when the first is killed,
-//! and a purge is reported as in force only once it was applied.
+//! Replicas and a dispatcher as processes: the dispatcher polls one replica, falls back to another when the first is
+//! killed, and a purge is reported as in force only once it was applied.
 
 mod common;
 
@@ -260,7 +260,7 @@
     };
     assert!(
         earlier_states.iter().any(is_waited_for),
-        "the status named the dispatcher or the killed replica: {earlier_states:?}"
+        "no status named the dispatcher or the killed replica: {earlier_states:?}"
     );
     let polls = dispatcher.report("replication: polls");
     assert!(polls.contains(&b.to_string()) && polls.contains("fallbacks: 1"), "{polls}");
@@ -370,7 +370,7 @@
         !forward.contains(",cap=")
     };
     dispatcher.wait_for_lines("replication: attached", 1);
-    assert!(accepts_copies_of_any_age("00000000000000a1"), "all purges are known");
+    assert!(accepts_copies_of_any_age("00000000000000a1"), "nothing was purged, and all purges are known");
 
     drop(replica_process);
     let killed_at = Instant::now();
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -1,5 +1,5 @@
-//! Signals to the program at moments that can only be produced with a process: before it has read its configuration, while
-//! it is stopped, and while it is idle.
+//! Signals to the program at moments that can only be produced with a process: before it has read its configuration,
+//! while it is stopped, and while it is idle.
 
 mod common;
 
@@ -160,9 +160,9 @@
     }
 }
 
-/// Guards against signals that arrive while the configuration is read and kill the process or get lost. The configuration is
-/// a pipe, so that the signal arrives during the read. After SIGHUP the process starts and then loads the new configuration;
-/// after SIGTERM it exits without a failure.
+/// Guards against signals that arrive while the configuration is read and kill the process or get lost. The
+/// configuration is a pipe, so that the signal arrives during the read. After SIGHUP the process starts and then loads
+/// the new configuration; after SIGTERM it exits without a failure.
 #[test]
 fn signals_that_arrive_before_the_configuration_is_read_are_handled() {
     for name in ["-HUP", "-TERM"] {
@@ -224,8 +224,8 @@
     }
 }
 
-/// Guards against requests that are lost on SIGTERM or SIGHUP. Requests wait in the accept queue and on open connections of a
-/// stopped process when SIGTERM, SIGHUP or both arrive; all of them must be answered.
+/// Guards against requests that are lost on SIGTERM or SIGHUP. Requests wait in the accept queue and on open
+/// connections of a stopped process when SIGTERM, SIGHUP or both arrive; all of them must be answered.
 #[test]
 fn requests_that_wait_unread_when_signals_arrive_are_answered() {
     for signals in [&["-HUP"][..], &["-TERM"], &["-HUP", "-TERM"], &["-TERM", "-HUP"]] {
@@ -270,8 +270,8 @@
     }
 }
 
-/// Guards against an idle process that exits late or with a failure on SIGTERM. It has to exit promptly whether or not the
-/// change log is up and whether or not it knows hosts.
+/// Guards against an idle process that exits late or with a failure on SIGTERM. It has to exit promptly whether or not
+/// the change log is up and whether or not it knows hosts.
 #[test]
 fn an_idle_process_exits_without_a_failure() {
     let no_events = json!({"seq": 0, "results": []});
--- a/crates/replica/src/source.rs
+++ b/crates/replica/src/source.rs
@@ -3,8 +3,8 @@
 //!
 //! The log describes hosts by partial entries, which may omit unchanged fields, and by full lists. A record holds the
 //! whole entry of a host, so partial entries are merged into the known ones, and a host that a full list omits gets an
-//! entry with the status `left`. The version of an entry is the sequence number of its event, so that all replicas that follow
-//! the same change log assign the same version.
+//! entry with the status `left`. The version of an entry is the sequence number of its event, so that all replicas that
+//! follow the same change log assign the same version.
 
 use myrtlegauge_replication::{HostLine, Purge, PurgeTarget, Record, Version};
 use serde::Deserialize;
