--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,6 +1,8 @@
-//! The driver: connections on a calloop loop of its own, around the core. Nothing is decided here.
+//! The driver: runs the core on an event loop of its own and holds the connections. It makes no decisions.
 
-use crate::decide::{Answered, CallId, Carry, Core, Ended, LinkId, Mark, Round};
+use crate::decide::{
+    ActionSink, AttemptId, CallId, CallOutcome, ConnectionId, Core, DispatcherAnswer, Round,
+};
 use crate::terms::*;
 use bytes::{Bytes, BytesMut};
 use calloop::EventLoop;
@@ -14,158 +16,180 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A buffer that all connections read by way of, and bytes read from one in a turn.
-const SHARED: usize = 64 * 1024;
-const READ_MOST: usize = 256 * 1024;
-/// Requests called off on one connection whose ends have not come yet; more, and it is of no use.
-const ABORTED_MOST: usize = 64;
+/// Size of the buffer that all connections read through.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Maximum number of bytes read from one connection before the others get their turn.
+const MAX_READ_BYTES: usize = 256 * 1024;
+/// Maximum number of aborted requests without an end on one connection. A connection with more is closed.
+const MAX_ABORTED_REQUESTS: usize = 64;
+/// Records of resends that are kept until the caller reads them.
+const MAX_RESEND_RECORDS: usize = 1024;
 
-/// Names a call to its caller; never used again.
+/// Identifies a call to its caller; never reused.
 pub type Ticket = u64;
 
 /// A connection to a dispatcher.
-struct Line {
-    connection: Connection<Stirs>,
-    up: bool,
-    answers: ResponseReader,
-    /// Requests that are out: number, call, and where their last byte stands in what was ever written.
+struct Link {
+    connection: Connection<ReadyConnections>,
+    is_connected: bool,
+    responses: ResponseReader,
+    /// Requests in flight: number, call, and position of the last byte among all bytes written to the connection.
     open: Vec<(u16, CallId, u64)>,
     aborted: Vec<u16>,
 }
 
-/// A call as its caller put it.
-struct Held {
+/// A call with its arguments and its answer.
+struct SubmittedCall {
     ticket: Ticket,
     get: Get,
     answer: Option<Returned>,
 }
 
-/// What the loop tells the client: which lines are ready.
+/// Receives the readiness events of the event loop: the ids of the ready connections.
 #[derive(Default)]
-struct Stirs(Vec<LinkId>);
+struct ReadyConnections(Vec<ConnectionId>);
 
-impl ReadinessHandler for Stirs {
-    type Key = LinkId;
+impl ReadinessHandler for ReadyConnections {
+    type Key = ConnectionId;
 
-    fn on_socket_ready(&mut self, who: LinkId) {
-        self.0.push(who);
+    fn on_socket_ready(&mut self, connection_id: ConnectionId) {
+        self.0.push(connection_id);
     }
 }
 
-struct Desk {
-    hub: EventLoopHandle<Stirs>,
-    accounts: Rc<ResourceUsage>,
+/// Carries out the actions of the core.
+struct Driver {
+    event_loop_handle: EventLoopHandle<ReadyConnections>,
+    resource_usage: Rc<ResourceUsage>,
     services: Vec<String>,
-    places: Vec<Place>,
-    lines: BTreeMap<LinkId, Line>,
-    /// Lines that could not be opened, to be told in the next round.
-    failed: Vec<LinkId>,
-    calls: BTreeMap<CallId, Held>,
-    /// The call that is being taken: its outcome may come before its number is known.
-    taking: Option<Held>,
-    numbers: BTreeMap<Ticket, CallId>,
+    dispatchers: Vec<Dispatcher>,
+    links: BTreeMap<ConnectionId, Link>,
+    /// Connections that could not be opened, reported to the core in the next round.
+    failed: Vec<ConnectionId>,
+    calls: BTreeMap<CallId, SubmittedCall>,
+    /// The call that is being submitted: its outcome may come before its id is known.
+    submitting: Option<SubmittedCall>,
+    call_ids: BTreeMap<Ticket, CallId>,
     outcomes: VecDeque<(Ticket, Outcome)>,
     resends: VecDeque<Resend>,
-    pen: BytesMut,
+    write_buffer: BytesMut,
 }
 
-/// Calls to dispatchers. It has a loop of its own: call `turn` until there is an outcome, or watch its descriptor in
-/// another loop and call `turn` when it is ready or `patience` is over.
+/// Makes calls to dispatchers. It has an event loop of its own: call `turn` until there is an outcome, or watch its file
+/// descriptor in another loop and call `turn` when it is ready or `poll_timeout` has passed.
 pub struct Client {
     core: Core,
-    desk: Desk,
-    turns: EventLoop<'static, Stirs>,
-    stirs: Stirs,
+    driver: Driver,
+    event_loop: EventLoop<'static, ReadyConnections>,
+    ready: ReadyConnections,
     started: Instant,
-    tickets: Ticket,
-    shared: Vec<u8>,
+    last_ticket: Ticket,
+    read_buffer: Vec<u8>,
 }
 
-impl Carry for Desk {
-    fn connect(&mut self, link: LinkId, place: usize) {
-        match Connection::connect(&self.hub, self.places[place].address, link, &self.accounts) {
+impl ActionSink for Driver {
+    fn connect(&mut self, connection_id: ConnectionId, dispatcher: usize) {
+        match Connection::connect(
+            &self.event_loop_handle,
+            self.dispatchers[dispatcher].address,
+            connection_id,
+            &self.resource_usage,
+        ) {
             Ok(connection) => {
                 let (open, aborted) = (Vec::new(), Vec::new());
-                let line = Line { connection, up: false, answers: ResponseReader::default(), open, aborted };
-                self.lines.insert(link, line);
+                let link_state = Link {
+                    connection,
+                    is_connected: false,
+                    responses: ResponseReader::default(),
+                    open,
+                    aborted,
+                };
+                self.links.insert(connection_id, link_state);
             }
-            Err(_) => self.failed.push(link),
+            Err(_) => self.failed.push(connection_id),
         }
     }
 
-    fn send(&mut self, link: LinkId, number: u16, call: CallId, mark: Mark, left: Duration) {
-        let held = self.calls.get(&call).or(self.taking.as_ref());
-        let (Some(line), Some(held)) = (self.lines.get_mut(&link), held) else { return };
-        let get = &held.get;
+    fn send(
+        &mut self,
+        connection_id: ConnectionId,
+        number: u16,
+        call: CallId,
+        attempt_id: AttemptId,
+        remaining: Duration,
+    ) {
+        let pending = self.calls.get(&call).or(self.submitting.as_ref());
+        let (Some(link_state), Some(pending)) = (self.links.get_mut(&connection_id), pending) else { return };
+        let get = &pending.get;
         let path = format!("/rpc/{}", self.services[get.service]);
-        let (id, first) = (format!("{:016x}", mark.id), format!("{:016x}", mark.first));
-        // What is left, in whole milliseconds, so that no more is told than there is.
-        let (budget, number_text) = (left.as_millis().to_string(), mark.number.to_string());
-        let (object, part) = (format!("{:016x}", get.object), get.part.to_string());
+        let (id, first_id) = (format!("{:016x}", attempt_id.id), format!("{:016x}", attempt_id.first_id));
+        // Rounded down to whole milliseconds, so that the dispatcher never gets more time than remains.
+        let (budget, attempt) = (remaining.as_millis().to_string(), attempt_id.attempt.to_string());
+        let (object, chunk) = (format!("{:016x}", get.object), get.chunk.to_string());
         let group = get.group.to_string();
         let mut params: Vec<(&str, &[u8])> = vec![
             ("SCRIPT_NAME", path.as_bytes()),
             ("HTTP_REQUEST_ID", id.as_bytes()),
             ("HTTP_BUDGET_MS", budget.as_bytes()),
             ("HTTP_RESOURCE_KEY", object.as_bytes()),
-            ("HTTP_X_CHUNK", part.as_bytes()),
+            ("HTTP_X_CHUNK", chunk.as_bytes()),
             ("HTTP_X_TAG", group.as_bytes()),
         ];
-        if !get.held.is_empty() {
-            params.push(("HTTP_X_KNOWN", &get.held));
+        if !get.held_version.is_empty() {
+            params.push(("HTTP_X_KNOWN", &get.held_version));
         }
-        if mark.number > 0 {
-            params.push(("HTTP_X_FIRST_ID", first.as_bytes()));
-            params.push(("HTTP_X_TRY", number_text.as_bytes()));
+        if attempt_id.attempt > 0 {
+            params.push(("HTTP_X_FIRST_ID", first_id.as_bytes()));
+            params.push(("HTTP_X_TRY", attempt.as_bytes()));
         }
-        fastcgi_client::write_request(&mut self.pen, number, &params, &get.body);
-        line.connection.enqueue(self.pen.split().freeze());
-        line.open.push((number, call, line.connection.enqueued_bytes()));
-        let _ = line.connection.flush();
+        fastcgi_client::write_request(&mut self.write_buffer, number, &params, &get.body);
+        link_state.connection.enqueue(self.write_buffer.split().freeze());
+        link_state.open.push((number, call, link_state.connection.enqueued_bytes()));
+        let _ = link_state.connection.flush();
     }
 
-    fn abort(&mut self, link: LinkId, number: u16) {
-        let Some(line) = self.lines.get_mut(&link) else { return };
-        line.open.retain(|(known, ..)| *known != number);
-        line.answers.discard(number);
-        line.aborted.push(number);
-        fastcgi_client::write_abort(&mut self.pen, number);
-        line.connection.enqueue(self.pen.split().freeze());
-        let _ = line.connection.flush();
+    fn abort(&mut self, connection_id: ConnectionId, number: u16) {
+        let Some(link_state) = self.links.get_mut(&connection_id) else { return };
+        link_state.open.retain(|(open_number, ..)| *open_number != number);
+        link_state.responses.discard(number);
+        link_state.aborted.push(number);
+        fastcgi_client::write_abort(&mut self.write_buffer, number);
+        link_state.connection.enqueue(self.write_buffer.split().freeze());
+        let _ = link_state.connection.flush();
     }
 
-    fn close(&mut self, link: LinkId) {
-        self.lines.remove(&link);
+    fn close(&mut self, connection_id: ConnectionId) {
+        self.links.remove(&connection_id);
     }
 
-    fn done(&mut self, call: CallId, end: Ended) {
-        let Some(held) = self.calls.remove(&call).or_else(|| self.taking.take()) else { return };
-        self.numbers.remove(&held.ticket);
-        let outcome = match end {
-            // The answer was put beside the call before the core heard of it.
-            Ended::Returned => held.answer.map_or(Outcome::Errored, Outcome::Returned),
-            Ended::Shed { why, retry_after } => Outcome::Shed { why, retry_after },
-            Ended::Errored => Outcome::Errored,
-            Ended::MayHaveRun => Outcome::MayHaveRun,
-            Ended::OutOfTime => Outcome::OutOfTime,
+    fn finish(&mut self, call: CallId, outcome: CallOutcome) {
+        let Some(pending) = self.calls.remove(&call).or_else(|| self.submitting.take()) else { return };
+        self.call_ids.remove(&pending.ticket);
+        let outcome = match outcome {
+            // The answer was stored with the call before the core was notified.
+            CallOutcome::Returned => pending.answer.map_or(Outcome::Errored, Outcome::Returned),
+            CallOutcome::Shed { reason, retry_after } => Outcome::Shed { reason, retry_after },
+            CallOutcome::Errored => Outcome::Errored,
+            CallOutcome::MayHaveRun => Outcome::MayHaveRun,
+            CallOutcome::OutOfTime => Outcome::OutOfTime,
         };
-        metrics::counter!("client_calls", "outcome" => name(&outcome)).increment(1);
-        self.outcomes.push_back((held.ticket, outcome));
+        metrics::counter!("client_calls", "outcome" => outcome_label(&outcome)).increment(1);
+        self.outcomes.push_back((pending.ticket, outcome));
     }
 
-    fn resent(&mut self, resend: &Resend) {
-        let Resend { first, number, end, reached, from, to } = *resend;
-        log::debug!(number, end:?, reached:?, from, to; "{first:016x} is sent again");
-        metrics::counter!("client_resends", "end" => end_name(end)).increment(1);
+    fn record_resend(&mut self, resend: &Resend) {
+        let Resend { first_id, attempt, end, reached, from, to } = *resend;
+        log::debug!(number = attempt, end:?, reached:?, from, to; "GET {first_id:016x} sent again");
+        metrics::counter!("client_resends", "end" => end_label(end)).increment(1);
         self.resends.push_back(*resend);
-        // The record is for who asks for it; nobody has to.
-        if self.resends.len() > 1024 {
+        // Callers need not read the records, so only the latest are kept.
+        if self.resends.len() > MAX_RESEND_RECORDS {
             self.resends.pop_front();
         }
     }
 }
 
-fn name(outcome: &Outcome) -> &'static str {
+fn outcome_label(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Returned(_) => "returned",
         Outcome::Shed { .. } => "shed",
@@ -175,7 +199,7 @@
     }
 }
 
-fn end_name(end: End) -> &'static str {
+fn end_label(end: End) -> &'static str {
     match end {
         End::Shed => "shed",
         End::Errored => "errored",
@@ -186,189 +210,208 @@
 }
 
 impl Client {
-    /// A client of these services at these dispatchers. `seed` draws ids and the spread of reconnects: clients must not
-    /// share one.
+    /// Creates a client for these services and dispatchers. `seed` determines the ids and the delays of reconnects, so no two
+    /// clients may use the same one.
     ///
     /// # Errors
-    /// No event loop can be had.
-    pub fn new(services: Vec<Service>, places: Vec<Place>, seed: u64) -> Result<Self, String> {
-        let turns = EventLoop::<Stirs>::try_new().map_err(|e| format!("no event loop: {e}"))?;
-        let desk = Desk {
-            hub: turns.handle(),
-            accounts: Rc::new(ResourceUsage::default()),
+    /// The event loop can't be created.
+    pub fn new(services: Vec<Service>, dispatchers: Vec<Dispatcher>, seed: u64) -> Result<Self, String> {
+        let event_loop = EventLoop::<ReadyConnections>::try_new()
+            .map_err(|error| format!("cannot create the event loop: {error}"))?;
+        let driver = Driver {
+            event_loop_handle: event_loop.handle(),
+            resource_usage: Rc::new(ResourceUsage::default()),
             services: services.iter().map(|service| service.name.clone()).collect(),
-            places: places.clone(),
-            lines: BTreeMap::new(),
+            dispatchers: dispatchers.clone(),
+            links: BTreeMap::new(),
             failed: Vec::new(),
             calls: BTreeMap::new(),
-            taking: None,
-            numbers: BTreeMap::new(),
+            submitting: None,
+            call_ids: BTreeMap::new(),
             outcomes: VecDeque::new(),
             resends: VecDeque::new(),
-            pen: BytesMut::new(),
+            write_buffer: BytesMut::new(),
         };
         Ok(Self {
-            core: Core::new(services, places, seed),
-            desk,
-            turns,
-            stirs: Stirs::default(),
+            core: Core::new(services, dispatchers, seed),
+            driver,
+            event_loop,
+            ready: ReadyConnections::default(),
             started: Instant::now(),
-            tickets: 0,
-            shared: vec![0; SHARED],
+            last_ticket: 0,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
         })
     }
 
-    /// Asks; the outcome comes by `next_outcome` under the ticket, perhaps at once.
+    /// Starts a call. `next_outcome` returns its outcome with this ticket, possibly at once.
     pub fn ask(&mut self, get: Get) -> Ticket {
-        self.tickets += 1;
-        let (ticket, service, budget) = (self.tickets, get.service, get.budget);
-        self.desk.taking = Some(Held { ticket, get, answer: None });
+        self.last_ticket += 1;
+        let (ticket, service, budget) = (self.last_ticket, get.service, get.budget);
+        self.driver.submitting = Some(SubmittedCall { ticket, get, answer: None });
         let now = self.started.elapsed();
-        self.core.round(now, &mut self.desk, |round| {
-            let call = round.take(service, budget);
-            if let Some(held) = round.carry().taking.take() {
-                let desk = round.carry();
-                desk.numbers.insert(held.ticket, call);
-                desk.calls.insert(call, held);
+        self.core.round(now, &mut self.driver, |round| {
+            let call = round.on_call(service, budget);
+            if let Some(pending) = round.sink().submitting.take() {
+                let driver = round.sink();
+                driver.call_ids.insert(pending.ticket, call);
+                driver.calls.insert(call, pending);
             }
         });
-        self.tell_failed();
+        self.report_failed_connects();
         ticket
     }
 
-    /// The caller does not wait any longer: nothing is told of the call from now on.
+    /// Abandons a call: its outcome is not reported.
     pub fn abandon(&mut self, ticket: Ticket) {
-        let Some(call) = self.desk.numbers.remove(&ticket) else { return };
-        self.desk.calls.remove(&call);
-        self.core.round(self.started.elapsed(), &mut self.desk, |round| round.dropped(call));
+        let Some(call) = self.driver.call_ids.remove(&ticket) else { return };
+        self.driver.calls.remove(&call);
+        self.core.round(self.started.elapsed(), &mut self.driver, |round| round.on_abandoned(call));
     }
 
+    /// The next outcome that was not read yet.
     pub fn next_outcome(&mut self) -> Option<(Ticket, Outcome)> {
-        self.desk.outcomes.pop_front()
+        self.driver.outcomes.pop_front()
     }
 
-    /// The record of tries after the first, as far as it was not taken yet: the last thousand.
+    /// The next record of an attempt after the first that was not read yet. Only the latest 1024 are kept.
     pub fn next_resend(&mut self) -> Option<Resend> {
-        self.desk.resends.pop_front()
+        self.driver.resends.pop_front()
     }
 
-    /// Calls without an outcome.
-    pub fn in_hand(&self) -> usize {
-        self.core.in_hand()
+    /// Number of calls without an outcome.
+    pub fn in_flight(&self) -> usize {
+        self.core.in_flight()
     }
 
-    /// How long nothing is due.
-    pub fn patience(&self) -> Option<Duration> {
-        self.core.due().map(|due| due.saturating_sub(self.started.elapsed()))
+    /// Time until `turn` must be called even without a readiness event.
+    pub fn poll_timeout(&self) -> Option<Duration> {
+        self.core.next_deadline().map(|deadline| deadline.saturating_sub(self.started.elapsed()))
     }
 
-    /// Waits for what comes, for so long at most, and deals with it.
+    /// Waits for events, for `max_wait` at most, and handles them.
     ///
     /// # Errors
-    /// The loop's own; connections' are outcomes.
-    pub fn turn(&mut self, most: Duration) -> Result<(), String> {
-        let wait = self.patience().map_or(most, |patience| patience.min(most));
-        self.turns.dispatch(wait, &mut self.stirs).map_err(|e| format!("the event loop: {e}"))?;
-        let ready = std::mem::take(&mut self.stirs.0);
+    /// The event loop failed. Errors of connections are outcomes of calls instead.
+    pub fn turn(&mut self, max_wait: Duration) -> Result<(), String> {
+        let wait = self.poll_timeout().map_or(max_wait, |timeout| timeout.min(max_wait));
+        self.event_loop
+            .dispatch(wait, &mut self.ready)
+            .map_err(|error| format!("the event loop failed: {error}"))?;
+        let ready_connections = std::mem::take(&mut self.ready.0);
         let now = self.started.elapsed();
-        let shared = &mut self.shared;
-        self.core.round(now, &mut self.desk, |round| {
-            for link in ready {
-                on_ready(round, link, shared);
+        let read_buffer = &mut self.read_buffer;
+        self.core.round(now, &mut self.driver, |round| {
+            for connection_id in ready_connections {
+                on_ready(round, connection_id, read_buffer);
             }
         });
-        self.tell_failed();
+        self.report_failed_connects();
         Ok(())
     }
 
-    /// Connections that could not even be begun.
-    fn tell_failed(&mut self) {
-        while let Some(link) = self.desk.failed.pop() {
+    /// Reports connections that could not be opened to the core.
+    fn report_failed_connects(&mut self) {
+        while let Some(connection_id) = self.driver.failed.pop() {
             let now = self.started.elapsed();
-            self.core.round(now, &mut self.desk, |round| round.lost(link, End::Lost, |_| Reached::NotWhole));
+            self.core.round(now, &mut self.driver, |round| {
+                round.on_connection_lost(connection_id, End::Lost, |_| Reached::NotWhole)
+            });
         }
     }
 }
 
 impl AsFd for Client {
     fn as_fd(&self) -> BorrowedFd<'_> {
-        self.turns.as_fd()
+        self.event_loop.as_fd()
     }
 }
 
-/// Reads and writes what can be on one line.
-fn on_ready(round: &mut Round<'_, Desk>, link: LinkId, shared: &mut [u8]) {
-    let Some(line) = round.carry().lines.get_mut(&link) else { return };
-    let up = match line.connection.is_connected() {
-        Ok(up) => up,
-        Err(_) => return lose(round, link, End::Lost),
+/// Reads from and writes to a ready connection.
+fn on_ready(round: &mut Round<'_, Driver>, connection_id: ConnectionId, read_buffer: &mut [u8]) {
+    let Some(link_state) = round.sink().links.get_mut(&connection_id) else { return };
+    let is_connected = match link_state.connection.is_connected() {
+        Ok(is_connected) => is_connected,
+        Err(_) => return report_connection_lost(round, connection_id, End::Lost),
     };
-    if !up {
+    if !is_connected {
         return;
     }
-    if !std::mem::replace(&mut line.up, true) {
-        round.up(link);
+    if !std::mem::replace(&mut link_state.is_connected, true) {
+        round.on_connected(connection_id);
     }
     loop {
-        let Some(line) = round.carry().lines.get_mut(&link) else { return };
-        if line.connection.flush().is_err() {
-            return lose(round, link, End::Lost);
+        let Some(link_state) = round.sink().links.get_mut(&connection_id) else { return };
+        if link_state.connection.flush().is_err() {
+            return report_connection_lost(round, connection_id, End::Lost);
         }
-        let before = line.connection.unparsed_bytes();
-        let reading = line.connection.read(shared, READ_MOST);
-        if line.connection.unparsed_bytes() > before {
-            round.heard(link);
+        let unparsed_before = link_state.connection.unparsed_bytes();
+        let read_outcome = link_state.connection.read(read_buffer, MAX_READ_BYTES);
+        if link_state.connection.unparsed_bytes() > unparsed_before {
+            round.on_bytes_read(connection_id);
         }
         loop {
-            let Some(line) = round.carry().lines.get_mut(&link) else { return };
-            let Line { connection, answers, open, aborted, .. } = line;
-            let known = |number: u16| open.iter().any(|(n, ..)| *n == number) || aborted.contains(&number);
-            match connection.parse(|inbound| answers.next_response(inbound, known)) {
-                Ok(Some(answer)) => answered(round, link, answer),
-                Ok(None) if aborted.len() > ABORTED_MOST => return lose(round, link, End::Spoilt),
+            let Some(link_state) = round.sink().links.get_mut(&connection_id) else { return };
+            let Link { connection, responses, open, aborted, .. } = link_state;
+            let is_known = |number: u16| {
+                open.iter().any(|(open_number, ..)| *open_number == number) || aborted.contains(&number)
+            };
+            match connection.parse(|inbound| responses.next_response(inbound, is_known)) {
+                Ok(Some(response)) => on_response(round, connection_id, response),
+                Ok(None) if aborted.len() > MAX_ABORTED_REQUESTS => {
+                    return report_connection_lost(round, connection_id, End::Spoilt);
+                }
                 Ok(None) => break,
-                Err(StreamError(what)) => {
-                    log::warn!("a dispatcher's connection is closed: {what}");
-                    return lose(round, link, End::Spoilt);
+                Err(StreamError(reason)) => {
+                    log::warn!("malformed answer from a dispatcher, closing its connection: {reason}");
+                    return report_connection_lost(round, connection_id, End::Spoilt);
                 }
             }
         }
-        match reading {
-            ReadOutcome::Closed => return lose(round, link, End::Lost),
+        match read_outcome {
+            ReadOutcome::Closed => return report_connection_lost(round, connection_id, End::Lost),
             ReadOutcome::Drained => return,
             ReadOutcome::More => {}
         }
     }
 }
 
-fn answered(round: &mut Round<'_, Desk>, link: LinkId, answer: Response) {
-    let Some(line) = round.carry().lines.get_mut(&link) else { return };
-    if let Some(at) = line.aborted.iter().position(|&number| number == answer.number) {
-        line.aborted.swap_remove(at);
+fn on_response(round: &mut Round<'_, Driver>, connection_id: ConnectionId, response: Response) {
+    let Some(link_state) = round.sink().links.get_mut(&connection_id) else { return };
+    if let Some(index) = link_state.aborted.iter().position(|&number| number == response.number) {
+        link_state.aborted.swap_remove(index);
         return;
     }
-    let Some(at) = line.open.iter().position(|(number, ..)| *number == answer.number) else { return };
-    let (number, call, _) = line.open.swap_remove(at);
-    let told = match answer.status {
-        Some(200) => Answered::Returned,
+    let Some(index) = link_state.open.iter().position(|(number, ..)| *number == response.number) else {
+        return;
+    };
+    let (number, call, _) = link_state.open.swap_remove(index);
+    let answer = match response.status {
+        Some(200) => DispatcherAnswer::Returned,
         None | Some(429 | 503) => {
             let ms = |bytes: &Bytes| std::str::from_utf8(bytes).ok()?.trim().parse().ok();
-            Answered::Shed(answer.back_off_ms.as_ref().and_then(ms))
+            DispatcherAnswer::Shed(response.back_off_ms.as_ref().and_then(ms))
         }
-        Some(_) => Answered::Errored,
+        Some(_) => DispatcherAnswer::Errored,
     };
-    if told == Answered::Returned
-        && let Some(held) = round.carry().calls.get_mut(&call)
+    if answer == DispatcherAnswer::Returned
+        && let Some(pending) = round.sink().calls.get_mut(&call)
     {
-        held.answer = Some(Returned { valid: answer.is_held_copy_valid, body: answer.body });
+        pending.answer = Some(Returned { valid: response.is_held_copy_valid, body: response.body });
     }
-    round.answered(link, number, told);
+    round.on_answer(connection_id, number, answer);
 }
 
-/// A line is over: each request there is told with how far it got.
-fn lose(round: &mut Round<'_, Desk>, link: LinkId, end: End) {
-    let Some(line) = round.carry().lines.get(&link) else { return };
-    let flushed = line.connection.written_bytes();
-    let whole: Vec<u16> = line.open.iter().filter(|(.., last)| flushed >= *last).map(|(n, ..)| *n).collect();
-    round.lost(link, end, |number| if whole.contains(&number) { Reached::Whole } else { Reached::NotWhole });
+/// Reports the end of a connection to the core, with how far the bytes of each request got.
+fn report_connection_lost(round: &mut Round<'_, Driver>, connection_id: ConnectionId, end: End) {
+    let Some(link_state) = round.sink().links.get(&connection_id) else { return };
+    let written_bytes = link_state.connection.written_bytes();
+    let fully_sent: Vec<u16> = link_state
+        .open
+        .iter()
+        .filter(|(.., last_byte)| written_bytes >= *last_byte)
+        .map(|(number, ..)| *number)
+        .collect();
+    round.on_connection_lost(connection_id, end, |number| {
+        if fully_sent.contains(&number) { Reached::Whole } else { Reached::NotWhole }
+    });
 }
--- a/crates/client/src/decide.rs
+++ b/crates/client/src/decide.rs
@@ -1,6 +1,6 @@
-//! All that the library decides: budgets, what is sent again and where, pauses, the pace of reconnects. No I/O and no
-//! clock. `Core::round(now, &mut out, |round| …)` is called once for all that came in, one plain call for each message on
-//! `Round`; what is to be done goes into `out`.
+//! All decisions of the library: budgets, retries and their destination, pauses, and the rate of reconnects. The module has
+//! no I/O and no clock. The driver calls `Core::round(now, &mut sink, |round| …)` once per batch of events, with one call on
+//! `Round` per event; the resulting actions go into `sink`.
 
 use crate::terms::*;
 use slab::Slab;
@@ -8,603 +8,701 @@
 use std::time::Duration;
 
 const ZERO: Duration = Duration::ZERO;
-/// tries of one GET; a third that fails says that the trouble is not one dispatcher's.
-const TRIES_MOST: u32 = 3;
-/// part of a first try that is earned for a retry, and the most that is kept: retries add a tenth at most to what
-/// dispatchers get, and a client that was idle can't send a burst of them.
-const EARNED: f64 = 0.1;
-const EARNED_MOST: f64 = 10.0;
-/// what a client begins with: a few retries before it has earned any.
-const EARNED_FIRST: f64 = 3.0;
-/// requests open on one connection, by the protocol.
-const OPEN_MOST: usize = 32;
-/// connections to one dispatcher: a second, so that one that dies takes down half.
-const LINKS_MOST: usize = 2;
-/// calls in hand: what is over them is shed at once.
-const CALLS_MOST: usize = 4096;
-/// outcomes by which a dispatcher is judged, half of them successes.
-const FEW: u32 = 4;
-/// ms; a failed dispatcher rests this long before one trial, doubled at each failed one up to eight times it.
-const REST: Duration = Duration::from_millis(500);
-/// ms; a pause is kept at least this long, or a back-off of nothing makes a loop.
-const PAUSE_LEAST: Duration = Duration::from_millis(20);
-/// s; and at most: a year is a mistake, and a tablet must come back the same shift.
-const PAUSE_MOST: Duration = Duration::from_secs(60);
-/// ms; where a refusal tells no pause, or one that is no time.
-const PAUSE_UNTOLD: Duration = Duration::from_millis(500);
-/// reconnects a second that a dispatcher bears beside its work: over the window that this gives, a crowd that lost it
-/// in one instant comes back.
-const RETURNS: f64 = 4000.0;
-/// ms; the window of a client that shares with nobody, and the most that a window grows to.
-const WINDOW_LEAST: Duration = Duration::from_millis(50);
-const WINDOW_MOST: Duration = Duration::from_secs(10);
-/// ms; a connection that does not come up in time is given up.
-const CONNECT: Duration = Duration::from_millis(500);
-/// times the usual time of an answer, and ms, that a silent dispatcher is waited for before the GET goes elsewhere.
-const PATIENT: f64 = 6.0;
-const PATIENCE: Duration = Duration::from_millis(250);
-/// ms; a returned dispatcher gets one GET at a time, then twice as many each step.
-const STEP: Duration = Duration::from_millis(100);
-/// weight of a new answer's time in the usual one.
-const BLEND: f64 = 0.1;
+/// Attempts of one GET. A third failure shows that the fault is not limited to one dispatcher.
+const MAX_ATTEMPTS: u32 = 3;
+/// Retry credit that a first attempt adds, and the maximum that is kept. Retries add at most a tenth to the load of the
+/// dispatchers, and a client that was idle can't send a burst of them.
+const RETRY_CREDIT_PER_CALL: f64 = 0.1;
+const MAX_RETRY_CREDIT: f64 = 10.0;
+/// Initial credit, which allows a few retries before any first attempt has added to it.
+const INITIAL_RETRY_CREDIT: f64 = 3.0;
+/// Requests open on one connection; the protocol sets the limit.
+const MAX_REQUESTS_PER_CONNECTION: usize = 32;
+/// Connections to one dispatcher. With two of them, a lost connection takes down only half of the requests.
+const MAX_CONNECTIONS_PER_DISPATCHER: usize = 2;
+/// Calls above this number in flight are shed at once.
+const MAX_CALLS_IN_FLIGHT: usize = 4096;
+/// Number of recent outcomes by which a dispatcher is judged. It counts as failed while more than half are failures.
+const HEALTH_WINDOW: u32 = 4;
+/// Time without GETs before the first trial of a failed dispatcher. Each failed trial doubles it, up to eight times.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(500);
+/// Shortest pause after a refusal: a requested pause of zero would make the client loop.
+const MIN_PAUSE: Duration = Duration::from_millis(20);
+/// Longest pause after a refusal: a pause of a year is a mistake, and a tablet must come back within the shift.
+const MAX_PAUSE: Duration = Duration::from_secs(60);
+/// Pause after a refusal that requests none, or an invalid one.
+const DEFAULT_PAUSE: Duration = Duration::from_millis(500);
+/// Reconnects per second that a dispatcher can take beside its work. It sets the window over which clients that lost a
+/// dispatcher at the same instant reconnect.
+const RECONNECTS_PER_S: f64 = 4000.0;
+/// Reconnect window of a client that shares its dispatcher with no other, and the upper limit of every window.
+const MIN_RECONNECT_WINDOW: Duration = Duration::from_millis(50);
+const MAX_RECONNECT_WINDOW: Duration = Duration::from_secs(10);
+/// A connection that is not established within this time is closed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A dispatcher that sends nothing is waited for this many times its mean answer time, and at least for the minimum,
+/// before the GET goes to another one.
+const SILENCE_FACTOR: f64 = 6.0;
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(250);
+/// A recovered dispatcher gets one GET at a time at first; the limit doubles at each step.
+const SLOW_START_STEP: Duration = Duration::from_millis(100);
+/// Weight of a new answer time in the moving average.
+const ANSWER_TIME_WEIGHT: f64 = 0.1;
 
 pub type CallId = usize;
-pub type LinkId = usize;
+pub type ConnectionId = usize;
 
-/// What a try bears: the GET's own identity, and which try this is.
+/// Identifies an attempt and the GET that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
-    /// This try's id.
+pub struct AttemptId {
     pub id: u64,
-    /// The first try's id.
-    pub first: u64,
-    pub number: u32,
+    /// Id of the first attempt, which identifies the GET.
+    pub first_id: u64,
+    /// 0 for the first attempt.
+    pub attempt: u32,
 }
 
-/// Takes what is to be done, in order.
-pub trait Carry {
+/// Receives the actions of the core, in order.
+pub trait ActionSink {
     /// Opens a connection to a dispatcher.
-    fn connect(&mut self, link: LinkId, place: usize);
-    fn send(&mut self, link: LinkId, number: u16, call: CallId, mark: Mark, left: Duration);
-    fn abort(&mut self, link: LinkId, number: u16);
-    /// The link's number may be used again.
-    fn close(&mut self, link: LinkId);
-    /// The one outcome of a call, whose number may be used again. Of an answer that returns it the caller has the bytes.
-    fn done(&mut self, call: CallId, end: Ended);
-    fn resent(&mut self, resend: &Resend);
+    fn connect(&mut self, connection: ConnectionId, dispatcher: usize);
+    fn send(
+        &mut self,
+        connection: ConnectionId,
+        number: u16,
+        call: CallId,
+        attempt_id: AttemptId,
+        remaining: Duration,
+    );
+    fn abort(&mut self, connection: ConnectionId, number: u16);
+    /// Closes a connection. Its id may be reused afterwards.
+    fn close(&mut self, connection: ConnectionId);
+    /// Reports the one outcome of a call. Its id may be reused afterwards. The bytes of a returned answer are with the
+    /// driver.
+    fn finish(&mut self, call: CallId, outcome: CallOutcome);
+    fn record_resend(&mut self, resend: &Resend);
 }
 
-/// How a call ended; `Returned` stands for the answer that the driver holds.
+/// The outcome of a call. The answer that belongs to `Returned` is with the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallOutcome {
     Returned,
-    Shed { why: Shed, retry_after: Duration },
+    Shed { reason: ShedReason, retry_after: Duration },
     Errored,
     MayHaveRun,
     OutOfTime,
 }
 
-/// How a dispatcher answered.
+/// The answer of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answered {
+pub enum DispatcherAnswer {
     Returned,
-    /// With the pause that it asks for, ms, where it tells a number.
+    /// With the requested pause in milliseconds, if the refusal has a number.
     Shed(Option<f64>),
     Errored,
 }
 
-/// What may follow a try: the one table that says so. A dispatcher takes a request once it has all of it, so that one
-/// of which a part never left is proven not run; a refusal says so itself.
-pub fn again(effect: Effect, end: End, reached: Reached) -> Again {
+/// Whether and where a GET may be retried after an attempt; no other code decides this. A dispatcher accepts a request
+/// only when it has all of it, so a request that was not sent in full is proven not to have run. A refusal proves the same.
+pub fn retry_scope(effect: Effect, end: End, reached: Reached) -> RetryScope {
     match (effect, end, reached) {
-        (_, _, Reached::NotWhole) | (_, End::Shed, _) | (Effect::Idempotent, ..) => Again::Anywhere,
-        (Effect::Tokened { .. }, ..) => Again::SameGroup,
-        (Effect::NonIdempotent, ..) => Again::Never,
+        (_, _, Reached::NotWhole) | (_, End::Shed, _) | (Effect::Idempotent, ..) => RetryScope::Anywhere,
+        (Effect::Tokened { .. }, ..) => RetryScope::SameGroup,
+        (Effect::NonIdempotent, ..) => RetryScope::Never,
     }
 }
 
-/// The pause that a refusal asks for, as it is kept.
-pub fn pause(told_ms: Option<f64>) -> Duration {
-    let told = told_ms.filter(|ms| ms.is_finite() && *ms >= 0.0);
-    let told = told.map(|ms| Duration::try_from_secs_f64(ms / 1e3).unwrap_or(PAUSE_MOST));
-    told.unwrap_or(PAUSE_UNTOLD).clamp(PAUSE_LEAST, PAUSE_MOST)
+/// The pause that follows a refusal: the requested one within the limits, or the default.
+pub fn pause_after_refusal(requested_ms: Option<f64>) -> Duration {
+    let requested = requested_ms.filter(|ms| ms.is_finite() && *ms >= 0.0);
+    let requested = requested.map(|ms| Duration::try_from_secs_f64(ms / 1e3).unwrap_or(MAX_PAUSE));
+    requested.unwrap_or(DEFAULT_PAUSE).clamp(MIN_PAUSE, MAX_PAUSE)
 }
 
 struct Call {
     service: usize,
     budget: Duration,
-    taken: Duration,
-    first: u64,
-    tries: u32,
-    /// Where its try is out.
-    out: Option<(LinkId, u16)>,
-    /// The group of the first dispatcher that may have run it, and when.
+    accepted_at: Duration,
+    first_id: u64,
+    attempts: u32,
+    /// Connection and request number of the attempt in flight.
+    in_flight: Option<(ConnectionId, u16)>,
+    /// Group of the first dispatcher that may have run the GET, and when it was sent there.
     may_have_run: Option<(u64, Duration)>,
-    /// How the last try ended, if it is to be followed by another.
-    last: Option<(End, Reached, usize)>,
-    /// It was shed by a dispatcher, last with this pause.
-    shed: Option<Duration>,
+    /// End of the last failed attempt, how far its bytes got, and its dispatcher.
+    last_failure: Option<(End, Reached, usize)>,
+    /// Pause of the last refusal by a dispatcher.
+    refusal_pause: Option<Duration>,
 }
 
-struct Open {
+struct OpenRequest {
     number: u16,
     call: CallId,
-    sent: Duration,
-    /// When its silence is too long.
-    overdue: Duration,
+    sent_at: Duration,
+    /// When the connection counts as silent if nothing was read since the request was sent.
+    overdue_at: Duration,
 }
 
-struct Link {
-    place: usize,
-    up: bool,
-    since: Duration,
-    heard: Duration,
-    next: u16,
-    open: Vec<Open>,
+struct Connection {
+    dispatcher: usize,
+    is_up: bool,
+    opened_at: Duration,
+    last_read_at: Duration,
+    next_number: u16,
+    open: Vec<OpenRequest>,
 }
 
-struct Known {
-    place: Place,
-    failures: u32,
-    trials: u32,
-    rests_until: Duration,
-    /// It asked to be left alone.
+struct DispatcherState {
+    dispatcher: Dispatcher,
+    recent_failures: u32,
+    failed_trials: u32,
+    backoff_until: Duration,
+    /// End of the pause that the dispatcher requested.
     pause_until: Duration,
-    told_pause: Duration,
-    /// A connection was lost: not before this is another opened, and how often in a row.
-    returns_at: Duration,
-    losses: u32,
-    /// It came back, and gets more step by step from then.
-    back_since: Option<Duration>,
-    earned: f64,
-    /// Usual time of an answer, s.
-    usual: f64,
+    requested_pause: Duration,
+    /// After a lost connection, the earliest time for a new one, and the number of losses in a row.
+    reconnect_at: Duration,
+    consecutive_losses: u32,
+    /// Start of the slow start after a recovery.
+    recovered_at: Option<Duration>,
+    retry_credit: f64,
+    mean_answer_s: f64,
 }
 
-impl Known {
-    fn failed(&self) -> bool {
-        (self.failures & ((1 << FEW) - 1)).count_ones() > FEW / 2
+impl DispatcherState {
+    fn is_failed(&self) -> bool {
+        (self.recent_failures & ((1 << HEALTH_WINDOW) - 1)).count_ones() > HEALTH_WINDOW / 2
     }
 
-    /// Guards calls from a dispatcher that fails them. It hurts where all fail alike, when one is tried all the same.
-    fn judge(&mut self, success: bool, now: Duration) {
-        let failed = self.failed();
-        self.failures = self.failures << 1 | u32::from(!success);
+    /// Records an outcome, to keep calls away from a dispatcher that fails them. Where all dispatchers fail alike this does
+    /// harm, but one of them is still tried.
+    fn record_outcome(&mut self, success: bool, now: Duration) {
+        let was_failed = self.is_failed();
+        self.recent_failures = self.recent_failures << 1 | u32::from(!success);
         if success {
-            self.trials = 0;
-            if failed && !self.failed() {
-                self.back_since = Some(now);
+            self.failed_trials = 0;
+            if was_failed && !self.is_failed() {
+                self.recovered_at = Some(now);
             }
-        } else if self.failed() && (!failed || now >= self.rests_until) {
-            self.rests_until = now + REST * (1 << self.trials);
-            self.trials = (self.trials + 1).min(3);
+        } else if self.is_failed() && (!was_failed || now >= self.backoff_until) {
+            self.backoff_until = now + FAILURE_BACKOFF * (1 << self.failed_trials);
+            self.failed_trials = (self.failed_trials + 1).min(3);
         }
     }
 
-    /// When it may be tried again after a loss or failures; its own pauses stand apart.
-    fn opens(&self) -> Duration {
-        self.returns_at.max(if self.failed() { self.rests_until } else { ZERO })
+    /// When the dispatcher may be used again after lost connections or failures. Requested pauses are not included.
+    fn available_at(&self) -> Duration {
+        self.reconnect_at.max(if self.is_failed() { self.backoff_until } else { ZERO })
     }
 
-    /// GETs that may be out there at once. Guards one that has just come back from all that waited for it.
-    fn room(&self, now: Duration) -> usize {
-        if self.failed() {
+    /// Maximum number of GETs in flight at the dispatcher. Keeps one that has just recovered from being sent all waiting
+    /// calls at once.
+    fn max_in_flight(&self, now: Duration) -> usize {
+        if self.is_failed() {
             return 1;
         }
-        let steps = self.back_since.map(|since| now.saturating_sub(since).div_duration_f64(STEP) as u32);
+        let steps = self
+            .recovered_at
+            .map(|recovered_at| now.saturating_sub(recovered_at).div_duration_f64(SLOW_START_STEP) as u32);
         steps.map_or(usize::MAX, |steps| 1 << steps.min(16))
     }
 }
 
+/// The state of a client: calls, connections, and what is known of each dispatcher.
 pub struct Core {
     services: Vec<Service>,
-    places: Vec<Known>,
+    dispatchers: Vec<DispatcherState>,
     calls: Slab<Call>,
-    links: Slab<Link>,
-    /// Calls that wait for a connection, or room on one.
+    connections: Slab<Connection>,
+    /// Calls that wait for a connection or for capacity on one.
     waiting: VecDeque<CallId>,
-    due: BTreeSet<(Duration, CallId)>,
-    chance: fastrand::Rng,
+    deadlines: BTreeSet<(Duration, CallId)>,
+    rng: fastrand::Rng,
     now: Duration,
 }
 
 impl Core {
-    pub fn new(services: Vec<Service>, places: Vec<Place>, seed: u64) -> Self {
-        let known = |place| Known {
-            place,
-            failures: 0,
-            trials: 0,
-            rests_until: ZERO,
+    pub fn new(services: Vec<Service>, dispatchers: Vec<Dispatcher>, seed: u64) -> Self {
+        let initial_state = |dispatcher| DispatcherState {
+            dispatcher,
+            recent_failures: 0,
+            failed_trials: 0,
+            backoff_until: ZERO,
             pause_until: ZERO,
-            told_pause: ZERO,
-            returns_at: ZERO,
-            losses: 0,
-            back_since: None,
-            earned: EARNED_FIRST,
-            usual: 0.0,
+            requested_pause: ZERO,
+            reconnect_at: ZERO,
+            consecutive_losses: 0,
+            recovered_at: None,
+            retry_credit: INITIAL_RETRY_CREDIT,
+            mean_answer_s: 0.0,
         };
         Self {
             services,
-            places: places.into_iter().map(known).collect(),
+            dispatchers: dispatchers.into_iter().map(initial_state).collect(),
             calls: Slab::new(),
-            links: Slab::new(),
+            connections: Slab::new(),
             waiting: VecDeque::new(),
-            due: BTreeSet::new(),
-            chance: fastrand::Rng::with_seed(seed),
+            deadlines: BTreeSet::new(),
+            rng: fastrand::Rng::with_seed(seed),
             now: ZERO,
         }
     }
 
-    /// One round with all that came in at `now`; a clock that goes back is taken to stand still.
-    pub fn round<C: Carry, T>(
+    /// Runs one round with all events at `now`. A clock that goes back is treated as standing still.
+    pub fn round<C: ActionSink, T>(
         &mut self,
         now: Duration,
-        out: &mut C,
-        said: impl FnOnce(&mut Round<'_, C>) -> T,
+        sink: &mut C,
+        handle_events: impl FnOnce(&mut Round<'_, C>) -> T,
     ) -> T {
         self.now = self.now.max(now);
-        let mut round = Round { core: self, out };
-        let told = said(&mut round);
-        round.settle();
-        told
+        let mut round = Round { core: self, sink };
+        let result = handle_events(&mut round);
+        round.finish_round();
+        result
     }
 
-    /// When the next round is due, whatever comes.
-    pub fn due(&self) -> Option<Duration> {
-        let calls = self.due.first().map(|(at, _)| *at);
-        let silent = self.links.iter().flat_map(|(_, link)| link.open.iter().map(|open| open.overdue)).min();
-        let coming =
-            self.links.iter().filter(|(_, link)| !link.up).map(|(_, link)| link.since + CONNECT).min();
-        let held = (!self.waiting.is_empty()).then(|| self.opens_at()).flatten();
-        [calls, silent, coming, held].into_iter().flatten().min()
+    /// When the next round is due if there are no events.
+    pub fn next_deadline(&self) -> Option<Duration> {
+        let call_deadline = self.deadlines.first().map(|(at, _)| *at);
+        let silence_deadline = self
+            .connections
+            .iter()
+            .flat_map(|(_, connection)| connection.open.iter().map(|open| open.overdue_at))
+            .min();
+        let connect_deadline = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| !connection.is_up)
+            .map(|(_, connection)| connection.opened_at + CONNECT_TIMEOUT)
+            .min();
+        let waiting_deadline = (!self.waiting.is_empty()).then(|| self.next_available_at()).flatten();
+        [call_deadline, silence_deadline, connect_deadline, waiting_deadline].into_iter().flatten().min()
     }
 
-    /// When a waiting call may find a dispatcher again.
-    fn opens_at(&self) -> Option<Duration> {
-        let step = |known: &Known| known.back_since.map(|_| self.now + STEP / 2);
-        let at = |known: &Known| {
-            let opens = known.opens().max(known.pause_until);
-            Some(opens).filter(|&opens| opens > self.now).or(step(known))
+    /// When a waiting call may find an available dispatcher.
+    fn next_available_at(&self) -> Option<Duration> {
+        let slow_start_step = |dispatcher_state: &DispatcherState| {
+            dispatcher_state.recovered_at.map(|_| self.now + SLOW_START_STEP / 2)
+        };
+        let next_time = |dispatcher_state: &DispatcherState| {
+            let available_at = dispatcher_state.available_at().max(dispatcher_state.pause_until);
+            Some(available_at).filter(|&at| at > self.now).or(slow_start_step(dispatcher_state))
         };
-        self.places.iter().filter_map(at).min()
+        self.dispatchers.iter().filter_map(next_time).min()
     }
 
-    pub fn in_hand(&self) -> usize {
+    /// Number of calls without an outcome.
+    pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// The service of a call in hand.
+    /// The service of a call in flight.
     pub fn service_of(&self, call: CallId) -> Option<usize> {
         self.calls.get(call).map(|call| call.service)
     }
 
-    fn out_at(&self, place: usize) -> usize {
-        self.links.iter().filter(|(_, link)| link.place == place).map(|(_, link)| link.open.len()).sum()
+    fn in_flight_at(&self, dispatcher: usize) -> usize {
+        self.connections
+            .iter()
+            .filter(|(_, connection)| connection.dispatcher == dispatcher)
+            .map(|(_, connection)| connection.open.len())
+            .sum()
     }
 
-    /// The least time in which an answer can be hoped for there.
-    fn least(&self, place: usize) -> Duration {
-        Duration::from_secs_f64(self.places[place].usual / 2.0)
+    /// Shortest time within which an answer of the dispatcher can be expected.
+    fn min_answer_time(&self, dispatcher: usize) -> Duration {
+        Duration::from_secs_f64(self.dispatchers[dispatcher].mean_answer_s / 2.0)
     }
 }
 
-pub struct Round<'a, C: Carry> {
+/// One round of the core: takes the events of a batch.
+pub struct Round<'a, C: ActionSink> {
     core: &'a mut Core,
-    out: &'a mut C,
+    sink: &'a mut C,
 }
 
-impl<C: Carry> Round<'_, C> {
-    pub fn carry(&mut self) -> &mut C {
-        self.out
+impl<C: ActionSink> Round<'_, C> {
+    pub fn sink(&mut self) -> &mut C {
+        self.sink
     }
 
-    /// Takes a call; its number, under which its outcome is told, perhaps at once.
-    pub fn take(&mut self, service: usize, budget: Duration) -> CallId {
+    /// Accepts a call. Returns the id under which its outcome is reported, which may happen before this returns.
+    pub fn on_call(&mut self, service: usize, budget: Duration) -> CallId {
         let core = &mut *self.core;
-        let full = core.calls.len() >= CALLS_MOST;
+        let is_full = core.calls.len() >= MAX_CALLS_IN_FLIGHT;
         let call = core.calls.insert(Call {
             service,
             budget,
-            taken: core.now,
-            first: core.chance.u64(..),
-            tries: 0,
-            out: None,
+            accepted_at: core.now,
+            first_id: core.rng.u64(..),
+            attempts: 0,
+            in_flight: None,
             may_have_run: None,
-            last: None,
-            shed: None,
+            last_failure: None,
+            refusal_pause: None,
         });
-        core.due.insert((core.now + budget, call));
-        if full {
-            self.done(call, Ended::Shed { why: Shed::Full, retry_after: PAUSE_UNTOLD });
+        core.deadlines.insert((core.now + budget, call));
+        if is_full {
+            self.finish(call, CallOutcome::Shed { reason: ShedReason::Full, retry_after: DEFAULT_PAUSE });
         } else if service >= core.services.len() {
-            self.done(call, Ended::Errored);
+            self.finish(call, CallOutcome::Errored);
         } else {
             self.decide(call);
         }
         call
     }
 
-    /// The caller does not wait any longer.
-    pub fn dropped(&mut self, call: CallId) {
+    /// The caller has abandoned the call.
+    pub fn on_abandoned(&mut self, call: CallId) {
         if self.core.calls.contains(call) {
-            self.forget(call);
+            self.remove_call(call);
         }
     }
 
-    pub fn up(&mut self, link: LinkId) {
+    pub fn on_connected(&mut self, connection: ConnectionId) {
         let now = self.core.now;
-        if let Some(link) = self.core.links.get_mut(link) {
-            (link.up, link.heard) = (true, now);
-            let known = &mut self.core.places[link.place];
-            if std::mem::take(&mut known.losses) > 0 {
-                known.back_since = Some(now);
+        if let Some(connection) = self.core.connections.get_mut(connection) {
+            (connection.is_up, connection.last_read_at) = (true, now);
+            let dispatcher_state = &mut self.core.dispatchers[connection.dispatcher];
+            if std::mem::take(&mut dispatcher_state.consecutive_losses) > 0 {
+                dispatcher_state.recovered_at = Some(now);
             }
         }
     }
 
-    /// Bytes came, whatever they are.
-    pub fn heard(&mut self, link: LinkId) {
+    /// Bytes of any kind were read.
+    pub fn on_bytes_read(&mut self, connection: ConnectionId) {
         let now = self.core.now;
-        if let Some(link) = self.core.links.get_mut(link) {
-            link.heard = now;
+        if let Some(connection) = self.core.connections.get_mut(connection) {
+            connection.last_read_at = now;
         }
     }
 
-    /// A connection is over; `reached` tells how far each request on it got.
-    pub fn lost(&mut self, link: LinkId, end: End, reached: impl Fn(u16) -> Reached) {
+    /// A connection has ended. `reached` returns how far the bytes of a request got, by request number.
+    pub fn on_connection_lost(
+        &mut self,
+        connection: ConnectionId,
+        end: End,
+        reached: impl Fn(u16) -> Reached,
+    ) {
         let core = &mut *self.core;
-        let Some(ended) = core.links.try_remove(link) else { return };
-        self.out.close(link);
-        let known = &mut core.places[ended.place];
-        known.losses = (known.losses + 1).min(16);
-        // Guards a dispatcher that was lost by all in one instant from all of them at once. It hurts a client alone by
-        // the least window.
-        let shared = Duration::from_secs_f64(f64::from(known.place.sharers) / RETURNS);
-        let window =
-            (WINDOW_LEAST + shared + known.told_pause).saturating_mul(1 << (known.losses - 1).min(8));
-        known.returns_at = core.now + window.min(WINDOW_MOST).mul_f64(core.chance.f64());
-        // What went down with one connection is one failure of the dispatcher.
-        known.judge(false, core.now);
+        let Some(ended) = core.connections.try_remove(connection) else { return };
+        self.sink.close(connection);
+        let dispatcher_state = &mut core.dispatchers[ended.dispatcher];
+        dispatcher_state.consecutive_losses = (dispatcher_state.consecutive_losses + 1).min(16);
+        // Keeps a dispatcher that all clients lost at the same instant from getting all their reconnects at once. A client
+        // without others pays for it with the minimum window.
+        let shared_window =
+            Duration::from_secs_f64(f64::from(dispatcher_state.dispatcher.sharers) / RECONNECTS_PER_S);
+        let window = (MIN_RECONNECT_WINDOW + shared_window + dispatcher_state.requested_pause)
+            .saturating_mul(1 << (dispatcher_state.consecutive_losses - 1).min(8));
+        dispatcher_state.reconnect_at = core.now + window.min(MAX_RECONNECT_WINDOW).mul_f64(core.rng.f64());
+        // All requests lost with one connection count as one failure of the dispatcher.
+        dispatcher_state.record_outcome(false, core.now);
         for open in ended.open {
-            self.failed(open.call, ended.place, open.sent, end, reached(open.number));
+            self.on_attempt_failed(open.call, ended.dispatcher, open.sent_at, end, reached(open.number));
         }
     }
 
-    /// A whole answer.
-    pub fn answered(&mut self, link: LinkId, number: u16, answer: Answered) {
+    /// A complete answer was read.
+    pub fn on_answer(&mut self, connection: ConnectionId, number: u16, answer: DispatcherAnswer) {
         let core = &mut *self.core;
         let now = core.now;
-        let Some(on) = core.links.get_mut(link) else { return };
-        on.heard = now;
-        let Some(at) = on.open.iter().position(|open| open.number == number) else { return };
-        let (open, place) = (on.open.swap_remove(at), on.place);
-        let known = &mut core.places[place];
-        let took = now.saturating_sub(open.sent).as_secs_f64();
+        let Some(sent_on) = core.connections.get_mut(connection) else { return };
+        sent_on.last_read_at = now;
+        let Some(index) = sent_on.open.iter().position(|open| open.number == number) else { return };
+        let (open, dispatcher) = (sent_on.open.swap_remove(index), sent_on.dispatcher);
+        let dispatcher_state = &mut core.dispatchers[dispatcher];
+        let answer_s = now.saturating_sub(open.sent_at).as_secs_f64();
         match answer {
-            Answered::Returned => {
-                known.usual =
-                    if known.usual > 0.0 { known.usual + BLEND * (took - known.usual) } else { took };
-                known.judge(true, now);
-                known.told_pause = ZERO;
-                self.done(open.call, Ended::Returned);
+            DispatcherAnswer::Returned => {
+                dispatcher_state.mean_answer_s = if dispatcher_state.mean_answer_s > 0.0 {
+                    dispatcher_state.mean_answer_s
+                        + ANSWER_TIME_WEIGHT * (answer_s - dispatcher_state.mean_answer_s)
+                } else {
+                    answer_s
+                };
+                dispatcher_state.record_outcome(true, now);
+                dispatcher_state.requested_pause = ZERO;
+                self.finish(open.call, CallOutcome::Returned);
             }
-            Answered::Shed(told) => {
-                // The dispatcher lives and asks to be left alone, by this GET and all others.
-                known.judge(true, now);
-                let pause = pause(told);
-                (known.told_pause, known.pause_until) = (pause, known.pause_until.max(now + pause));
-                core.calls[open.call].shed = Some(pause);
-                self.failed(open.call, place, open.sent, End::Shed, Reached::Whole);
+            DispatcherAnswer::Shed(requested_ms) => {
+                // The dispatcher is alive and requests a pause for this GET and all others.
+                dispatcher_state.record_outcome(true, now);
+                let pause = pause_after_refusal(requested_ms);
+                (dispatcher_state.requested_pause, dispatcher_state.pause_until) =
+                    (pause, dispatcher_state.pause_until.max(now + pause));
+                core.calls[open.call].refusal_pause = Some(pause);
+                self.on_attempt_failed(open.call, dispatcher, open.sent_at, End::Shed, Reached::Whole);
             }
-            Answered::Errored => {
-                known.judge(false, now);
-                self.failed(open.call, place, open.sent, End::Errored, Reached::Whole);
+            DispatcherAnswer::Errored => {
+                dispatcher_state.record_outcome(false, now);
+                self.on_attempt_failed(open.call, dispatcher, open.sent_at, End::Errored, Reached::Whole);
             }
         }
     }
 
-    /// A try ended without returning its call.
-    fn failed(&mut self, call: CallId, place: usize, sent: Duration, end: End, reached: Reached) {
+    /// An attempt ended without an answer that returns its call.
+    fn on_attempt_failed(
+        &mut self,
+        call: CallId,
+        dispatcher: usize,
+        sent_at: Duration,
+        end: End,
+        reached: Reached,
+    ) {
         let core = &mut *self.core;
-        let Some(c) = core.calls.get_mut(call) else { return };
-        c.out = None;
-        c.last = Some((end, reached, place));
-        let ran = reached == Reached::Whole && end != End::Shed;
-        if ran && c.may_have_run.is_none() {
-            c.may_have_run = Some((core.places[place].place.group, sent));
+        let Some(failed_call) = core.calls.get_mut(call) else { return };
+        failed_call.in_flight = None;
+        failed_call.last_failure = Some((end, reached, dispatcher));
+        let may_have_run = reached == Reached::Whole && end != End::Shed;
+        if may_have_run && failed_call.may_have_run.is_none() {
+            failed_call.may_have_run = Some((core.dispatchers[dispatcher].dispatcher.group, sent_at));
         }
-        if again(core.services[c.service].effect, end, reached) == Again::Never {
-            return self.done(call, Ended::MayHaveRun);
+        if retry_scope(core.services[failed_call.service].effect, end, reached) == RetryScope::Never {
+            return self.finish(call, CallOutcome::MayHaveRun);
         }
         self.decide(call);
     }
 
-    /// Whether a call may go to a dispatcher, as far as its effect goes.
-    fn may_go(&self, call: CallId, place: usize) -> bool {
-        let (core, c) = (&*self.core, &self.core.calls[call]);
-        match (core.services[c.service].effect, c.may_have_run) {
+    /// Whether the effect of a call allows it to go to a dispatcher.
+    fn may_be_sent_to(&self, call: CallId, dispatcher: usize) -> bool {
+        let (core, checked) = (&*self.core, &self.core.calls[call]);
+        match (core.services[checked.service].effect, checked.may_have_run) {
             (_, None) | (Effect::Idempotent, _) => true,
-            (Effect::Tokened { window }, Some((group, since))) => {
-                core.places[place].place.group == group && core.now < since + window
+            (Effect::Tokened { window }, Some((group, sent_at))) => {
+                core.dispatchers[dispatcher].dispatcher.group == group && core.now < sent_at + window
             }
             (Effect::NonIdempotent, Some(_)) => false,
         }
     }
 
-    /// Sends a call out, lets it wait, or gives it up at once.
+    /// Sends a call, queues it, or gives it up.
     fn decide(&mut self, call: CallId) {
         let core = &*self.core;
-        let (c, now) = (&core.calls[call], core.now);
-        let left = (c.taken + c.budget).saturating_sub(now);
-        if left.is_zero() || c.tries >= TRIES_MOST {
-            return self.give_up(call, Shed::NoDispatcher);
+        let (pending, now) = (&core.calls[call], core.now);
+        let remaining = (pending.accepted_at + pending.budget).saturating_sub(now);
+        if remaining.is_zero() || pending.attempts >= MAX_ATTEMPTS {
+            return self.give_up(call, ShedReason::NoDispatcher);
         }
-        let resend = c.tries > 0 && c.last.is_some_and(|(_, reached, _)| reached == Reached::Whole);
-        let last = c.last.map(|(.., place)| place);
-        let (mut best, mut spent, mut paused, mut soonest) =
+        let needs_credit = pending.attempts > 0
+            && pending.last_failure.is_some_and(|(_, reached, _)| reached == Reached::Whole);
+        let last_dispatcher = pending.last_failure.map(|(.., dispatcher)| dispatcher);
+        let (mut best, mut credit_spent, mut paused_until, mut available_at) =
             (None, false, None::<Duration>, None::<Duration>);
-        for place in 0..core.places.len() {
-            let known = &core.places[place];
-            if !self.may_go(call, place) {
+        for dispatcher in 0..core.dispatchers.len() {
+            let dispatcher_state = &core.dispatchers[dispatcher];
+            if !self.may_be_sent_to(call, dispatcher) {
                 continue;
             }
-            if now < known.pause_until {
-                paused = Some(paused.map_or(known.pause_until, |at| at.min(known.pause_until)));
+            if now < dispatcher_state.pause_until {
+                paused_until = Some(
+                    paused_until
+                        .map_or(dispatcher_state.pause_until, |at| at.min(dispatcher_state.pause_until)),
+                );
                 continue;
             }
-            let opens = known.opens();
-            if opens > now {
-                soonest = Some(soonest.map_or(opens, |at| at.min(opens)));
+            let next_time = dispatcher_state.available_at();
+            if next_time > now {
+                available_at = Some(available_at.map_or(next_time, |at| at.min(next_time)));
                 continue;
             }
-            if left <= core.least(place) {
+            if remaining <= core.min_answer_time(dispatcher) {
                 continue;
             }
-            if resend && known.earned < 1.0 {
-                spent = true;
+            if needs_credit && dispatcher_state.retry_credit < 1.0 {
+                credit_spent = true;
                 continue;
             }
-            // The one with the least out; not the one that failed it, if there is another.
-            let out = core.out_at(place);
-            if out >= known.room(now) {
-                soonest = Some(soonest.map_or(now + STEP, |at| at.min(now + STEP)));
+            // Prefers the dispatcher with the fewest GETs in flight, and any other to the one that failed the last attempt.
+            let in_flight = core.in_flight_at(dispatcher);
+            if in_flight >= dispatcher_state.max_in_flight(now) {
+                available_at =
+                    Some(available_at.map_or(now + SLOW_START_STEP, |at| at.min(now + SLOW_START_STEP)));
                 continue;
             }
-            let rank = (last == Some(place), out);
-            if best.is_none_or(|(known, _)| rank < known) {
-                best = Some((rank, place));
+            let rank = (last_dispatcher == Some(dispatcher), in_flight);
+            if best.is_none_or(|(best_rank, _)| rank < best_rank) {
+                best = Some((rank, dispatcher));
             }
         }
         match best {
-            Some((_, place)) => self.send(call, place, resend),
-            None if spent => self.give_up(call, Shed::RetriesSpent),
-            // It waits for a dispatcher that comes back while there is time for an answer.
-            None if soonest.is_some_and(|at| at + PAUSE_LEAST < now + left) => self.wait(call),
-            None if paused.is_some() => self.give_up(call, Shed::BackingOff),
-            None => self.give_up(call, Shed::NoDispatcher),
+            Some((_, dispatcher)) => self.send(call, dispatcher, needs_credit),
+            None if credit_spent => self.give_up(call, ShedReason::RetriesSpent),
+            // Waits for a dispatcher to become available if that leaves time for an answer.
+            None if available_at.is_some_and(|at| at + MIN_PAUSE < now + remaining) => self.queue(call),
+            None if paused_until.is_some() => self.give_up(call, ShedReason::BackingOff),
+            None => self.give_up(call, ShedReason::NoDispatcher),
         }
     }
 
-    fn wait(&mut self, call: CallId) {
+    fn queue(&mut self, call: CallId) {
         if !self.core.waiting.contains(&call) {
             self.core.waiting.push_back(call);
         }
     }
 
-    /// Puts a call on the emptiest connection, or opens one for it and lets it wait.
-    fn send(&mut self, call: CallId, place: usize, resend: bool) {
+    /// Sends a call on the connection with the fewest requests. Opens another connection if that one is busy, and queues
+    /// the call if none is established.
+    fn send(&mut self, call: CallId, dispatcher: usize, needs_credit: bool) {
         let core = &mut *self.core;
-        let at = |link: &Link| link.place == place;
-        let open = core.links.iter().filter(|(_, l)| at(l) && l.up && l.open.len() < OPEN_MOST);
-        let emptiest = open.min_by_key(|(id, link)| (link.open.len(), *id)).map(|(id, _)| id);
-        let count = core.links.iter().filter(|(_, link)| at(link)).count();
-        let coming = core.links.iter().any(|(_, link)| at(link) && !link.up);
-        let busy = emptiest.is_none_or(|id| !core.links[id].open.is_empty());
-        if busy && count < LINKS_MOST && !coming {
-            let link = Link { place, up: false, since: core.now, heard: core.now, next: 1, open: Vec::new() };
-            let link = core.links.insert(link);
-            self.out.connect(link, place);
+        let is_at = |connection: &Connection| connection.dispatcher == dispatcher;
+        let usable = core.connections.iter().filter(|(_, connection)| {
+            is_at(connection) && connection.is_up && connection.open.len() < MAX_REQUESTS_PER_CONNECTION
+        });
+        let least_loaded =
+            usable.min_by_key(|(id, connection)| (connection.open.len(), *id)).map(|(id, _)| id);
+        let count = core.connections.iter().filter(|(_, connection)| is_at(connection)).count();
+        let is_connecting =
+            core.connections.iter().any(|(_, connection)| is_at(connection) && !connection.is_up);
+        let is_busy = least_loaded.is_none_or(|id| !core.connections[id].open.is_empty());
+        if is_busy && count < MAX_CONNECTIONS_PER_DISPATCHER && !is_connecting {
+            let connection = Connection {
+                dispatcher,
+                is_up: false,
+                opened_at: core.now,
+                last_read_at: core.now,
+                next_number: 1,
+                open: Vec::new(),
+            };
+            let connection = core.connections.insert(connection);
+            self.sink.connect(connection, dispatcher);
         }
-        let Some(link) = emptiest else { return self.wait(call) };
+        let Some(connection) = least_loaded else { return self.queue(call) };
         let core = &mut *self.core;
         let now = core.now;
-        let known = &mut core.places[place];
-        let c = &mut core.calls[call];
-        if c.tries == 0 {
-            known.earned = (known.earned + EARNED).min(EARNED_MOST);
-        } else if resend {
-            known.earned -= 1.0;
+        let dispatcher_state = &mut core.dispatchers[dispatcher];
+        let sent_call = &mut core.calls[call];
+        if sent_call.attempts == 0 {
+            dispatcher_state.retry_credit =
+                (dispatcher_state.retry_credit + RETRY_CREDIT_PER_CALL).min(MAX_RETRY_CREDIT);
+        } else if needs_credit {
+            dispatcher_state.retry_credit -= 1.0;
         }
-        let id = if c.tries == 0 { c.first } else { core.chance.u64(..) };
-        let mark = Mark { id, first: c.first, number: c.tries };
-        if let Some((end, reached, from)) = c.last {
-            self.out.resent(&Resend { first: c.first, number: c.tries, end, reached, from, to: place });
+        let id = if sent_call.attempts == 0 { sent_call.first_id } else { core.rng.u64(..) };
+        let attempt_id = AttemptId { id, first_id: sent_call.first_id, attempt: sent_call.attempts };
+        if let Some((end, reached, from)) = sent_call.last_failure {
+            self.sink.record_resend(&Resend {
+                first_id: sent_call.first_id,
+                attempt: sent_call.attempts,
+                end,
+                reached,
+                from,
+                to: dispatcher,
+            });
         }
-        let left = (c.taken + c.budget).saturating_sub(now);
-        let patience = Duration::from_secs_f64(known.usual * PATIENT).max(PATIENCE);
-        let on = &mut core.links[link];
-        let number = on.next;
-        on.next = if on.next == u16::MAX { 1 } else { on.next + 1 };
-        on.open.push(Open { number, call, sent: now, overdue: now + patience });
-        c.out = Some((link, number));
-        c.tries += 1;
-        self.out.send(link, number, call, mark, left);
+        let remaining = (sent_call.accepted_at + sent_call.budget).saturating_sub(now);
+        let silence_timeout =
+            Duration::from_secs_f64(dispatcher_state.mean_answer_s * SILENCE_FACTOR).max(MIN_SILENCE_TIMEOUT);
+        let sent_on = &mut core.connections[connection];
+        let number = sent_on.next_number;
+        sent_on.next_number = if sent_on.next_number == u16::MAX { 1 } else { sent_on.next_number + 1 };
+        sent_on.open.push(OpenRequest { number, call, sent_at: now, overdue_at: now + silence_timeout });
+        sent_call.in_flight = Some((connection, number));
+        sent_call.attempts += 1;
+        self.sink.send(connection, number, call, attempt_id, remaining);
     }
 
-    /// The one outcome of a call that was not returned.
-    fn give_up(&mut self, call: CallId, why: Shed) {
-        let (core, c) = (&*self.core, &self.core.calls[call]);
-        let effect = core.services[c.service].effect;
-        if c.may_have_run.is_some() && effect != Effect::Idempotent {
-            return self.done(call, Ended::MayHaveRun);
+    /// Finishes a call that was not returned.
+    fn give_up(&mut self, call: CallId, reason: ShedReason) {
+        let (core, failed_call) = (&*self.core, &self.core.calls[call]);
+        let effect = core.services[failed_call.service].effect;
+        if failed_call.may_have_run.is_some() && effect != Effect::Idempotent {
+            return self.finish(call, CallOutcome::MayHaveRun);
         }
-        if c.taken + c.budget <= core.now {
-            return self.done(call, Ended::OutOfTime);
+        if failed_call.accepted_at + failed_call.budget <= core.now {
+            return self.finish(call, CallOutcome::OutOfTime);
         }
-        let errored = matches!(c.last, Some((End::Errored, ..)));
-        if errored && why != Shed::RetriesSpent {
-            return self.done(call, Ended::Errored);
+        let is_errored = matches!(failed_call.last_failure, Some((End::Errored, ..)));
+        if is_errored && reason != ShedReason::RetriesSpent {
+            return self.finish(call, CallOutcome::Errored);
         }
         let now = core.now;
-        let opens = |known: &Known| known.pause_until.max(known.returns_at).saturating_sub(now);
-        let soonest = core.places.iter().map(opens).min().unwrap_or_default();
-        let why = if c.shed.is_some() && why == Shed::BackingOff { Shed::ByDispatcher } else { why };
-        let retry_after = c.shed.unwrap_or_default().max(soonest).max(PAUSE_LEAST);
-        self.done(call, Ended::Shed { why, retry_after });
+        let time_until_available = |dispatcher_state: &DispatcherState| {
+            dispatcher_state.pause_until.max(dispatcher_state.reconnect_at).saturating_sub(now)
+        };
+        let shortest_wait = core.dispatchers.iter().map(time_until_available).min().unwrap_or_default();
+        let reason = if failed_call.refusal_pause.is_some() && reason == ShedReason::BackingOff {
+            ShedReason::ByDispatcher
+        } else {
+            reason
+        };
+        let retry_after = failed_call.refusal_pause.unwrap_or_default().max(shortest_wait).max(MIN_PAUSE);
+        self.finish(call, CallOutcome::Shed { reason, retry_after });
     }
 
-    fn done(&mut self, call: CallId, end: Ended) {
-        self.forget(call);
-        self.out.done(call, end);
+    fn finish(&mut self, call: CallId, outcome: CallOutcome) {
+        self.remove_call(call);
+        self.sink.finish(call, outcome);
     }
 
-    /// Calls off what is out for a call and lets it go.
-    fn forget(&mut self, call: CallId) {
+    /// Removes a call and aborts its attempt in flight.
+    fn remove_call(&mut self, call: CallId) {
         let core = &mut *self.core;
-        let c = core.calls.remove(call);
-        core.due.remove(&(c.taken + c.budget, call));
+        let removed = core.calls.remove(call);
+        core.deadlines.remove(&(removed.accepted_at + removed.budget, call));
         core.waiting.retain(|&waiting| waiting != call);
-        if let Some((link, number)) = c.out {
-            let on = core.links.get_mut(link);
-            let at = on.as_ref().and_then(|on| on.open.iter().position(|open| open.number == number));
-            if let (Some(on), Some(at)) = (on, at) {
-                on.open.swap_remove(at);
-                self.out.abort(link, number);
+        if let Some((connection, number)) = removed.in_flight {
+            let sent_on = core.connections.get_mut(connection);
+            let index = sent_on
+                .as_ref()
+                .and_then(|sent_on| sent_on.open.iter().position(|open| open.number == number));
+            if let (Some(sent_on), Some(index)) = (sent_on, index) {
+                sent_on.open.swap_remove(index);
+                self.sink.abort(connection, number);
             }
         }
     }
 
-    /// Closes a round: what ran out of time, what has been silent for too long, and what waits.
-    fn settle(&mut self) {
+    /// Finishes a round: handles calls past their budget, connections not established in time or silent for too long, and
+    /// waiting calls.
+    fn finish_round(&mut self) {
         let now = self.core.now;
-        while let Some(&(at, call)) = self.core.due.first()
-            && at <= now
+        while let Some(&(deadline, call)) = self.core.deadlines.first()
+            && deadline <= now
         {
-            self.give_up(call, Shed::NoDispatcher);
+            self.give_up(call, ShedReason::NoDispatcher);
         }
-        let late: Vec<_> =
-            self.core.links.iter().filter(|(_, l)| !l.up && now >= l.since + CONNECT).collect();
-        let late: Vec<_> = late.into_iter().map(|(id, _)| id).collect();
-        for link in late {
-            self.lost(link, End::Lost, |_| Reached::NotWhole);
+        let timed_out: Vec<_> = self
+            .core
+            .connections
+            .iter()
+            .filter(|(_, connection)| !connection.is_up && now >= connection.opened_at + CONNECT_TIMEOUT)
+            .collect();
+        let timed_out: Vec<_> = timed_out.into_iter().map(|(id, _)| id).collect();
+        for connection in timed_out {
+            self.on_connection_lost(connection, End::Lost, |_| Reached::NotWhole);
         }
-        // A connection on which nothing was heard since a GET there became overdue is taken for dead.
-        let silent =
-            |link: &Link| link.open.iter().any(|open| now >= open.overdue && link.heard <= open.sent);
-        let dead: Vec<_> =
-            self.core.links.iter().filter(|(_, l)| l.up && silent(l)).map(|(id, _)| id).collect();
-        for link in dead {
-            self.lost(link, End::Silent, |_| Reached::Whole);
+        // A connection is treated as dead if a GET on it is overdue and nothing was read since that GET was sent.
+        let is_silent = |connection: &Connection| {
+            connection
+                .open
+                .iter()
+                .any(|open| now >= open.overdue_at && connection.last_read_at <= open.sent_at)
+        };
+        let dead: Vec<_> = self
+            .core
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_up && is_silent(connection))
+            .map(|(id, _)| id)
+            .collect();
+        for connection in dead {
+            self.on_connection_lost(connection, End::Silent, |_| Reached::Whole);
         }
-        for (_, link) in &mut self.core.links {
-            for open in link.open.iter_mut().filter(|open| now >= open.overdue) {
-                // It lives: others were answered meanwhile.
-                open.overdue = now + PATIENCE;
+        for (_, connection) in &mut self.core.connections {
+            for open in connection.open.iter_mut().filter(|open| now >= open.overdue_at) {
+                // The connection is alive: something was read after this GET was sent.
+                open.overdue_at = now + MIN_SILENCE_TIMEOUT;
             }
         }
-        for known in &mut self.core.places {
-            if known.back_since.is_some_and(|since| now >= since + STEP * 8) {
-                known.back_since = None;
+        for dispatcher_state in &mut self.core.dispatchers {
+            if dispatcher_state
+                .recovered_at
+                .is_some_and(|recovered_at| now >= recovered_at + SLOW_START_STEP * 8)
+            {
+                dispatcher_state.recovered_at = None;
             }
         }
         for _ in 0..self.core.waiting.len() {
--- a/crates/client/src/handle.rs
+++ b/crates/client/src/handle.rs
@@ -1,4 +1,4 @@
-//! A blocking handle, for programs that have no loop: a client on a thread of its own.
+//! A blocking handle for programs without an event loop. It runs a client on a thread of its own.
 
 use crate::client::{Client, Ticket};
 use crate::terms::*;
@@ -7,129 +7,134 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// While calls come from other threads, how long the client's loop sleeps at most: the most that a call waits to be sent.
-const LOOK: Duration = Duration::from_millis(1);
-/// And while there is nothing to do.
-const IDLE: Duration = Duration::from_millis(50);
+/// Longest wait of the client's event loop while calls are in flight. A command from another thread waits this long at most.
+const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Longest wait for a command while no calls are in flight.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-enum Say {
-    Ask(Get, Sender<Outcome>, Sender<Ticket>),
+enum Command {
+    Ask { get: Get, outcome_sender: Sender<Outcome>, ticket_sender: Sender<Ticket> },
     Abandon(Ticket),
     Stop,
 }
 
-/// Calls that block until their outcome.
+/// Makes calls that block until their outcome.
 pub struct Handle {
-    says: Sender<Say>,
+    commands: Sender<Command>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// A call in hand; dropping it calls it off.
-pub struct Pending {
-    says: Sender<Say>,
+/// A call in flight. Dropping it abandons the call.
+pub struct PendingCall {
+    commands: Sender<Command>,
     ticket: Ticket,
     outcome: Receiver<Outcome>,
-    told: bool,
+    is_waited_for: bool,
 }
 
 impl Handle {
+    /// Starts a client on a new thread.
+    ///
     /// # Errors
-    /// No thread or no event loop can be had.
-    pub fn start(services: Vec<Service>, places: Vec<Place>, seed: u64) -> Result<Self, String> {
-        let (says, said) = channel();
+    /// The thread or its event loop can't be created.
+    pub fn start(services: Vec<Service>, dispatchers: Vec<Dispatcher>, seed: u64) -> Result<Self, String> {
+        let (commands, command_receiver) = channel();
         let (ready, is_ready) = channel();
         let thread = std::thread::Builder::new().name("client".into()).spawn(move || {
-            // The client stays on this thread: its connections can't leave it.
-            match Client::new(services, places, seed) {
+            // The client is created on this thread because its connections can't move to another one.
+            match Client::new(services, dispatchers, seed) {
                 Ok(client) => {
                     let _ = ready.send(Ok(()));
-                    run(client, &said);
+                    run(client, &command_receiver);
                 }
-                Err(fault) => drop(ready.send(Err(fault))),
+                Err(error) => drop(ready.send(Err(error))),
             }
         });
-        let thread = thread.map_err(|e| format!("no thread: {e}"))?;
-        is_ready.recv().map_err(|_| "the client's thread ended".to_owned())??;
-        Ok(Self { says, thread: Some(thread) })
+        let thread = thread.map_err(|e| format!("cannot start the client thread: {e}"))?;
+        is_ready.recv().map_err(|_| "the client thread ended before it was ready".to_owned())??;
+        Ok(Self { commands, thread: Some(thread) })
     }
 
-    /// Asks, and waits for the outcome: no longer than the budget and a little.
+    /// Makes a call and waits for its outcome, for little longer than its budget at most.
     pub fn get(&self, get: Get) -> Outcome {
         self.ask(get).wait()
     }
 
-    /// Asks, to wait later.
-    pub fn ask(&self, get: Get) -> Pending {
-        let ((tell, outcome), (name, named)) = (channel(), channel());
-        let _ = self.says.send(Say::Ask(get, tell, name));
-        let ticket = named.recv().unwrap_or_default();
-        Pending { says: self.says.clone(), ticket, outcome, told: false }
+    /// Starts a call without waiting for its outcome.
+    pub fn ask(&self, get: Get) -> PendingCall {
+        let ((outcome_sender, outcome), (ticket_sender, ticket_receiver)) = (channel(), channel());
+        let _ = self.commands.send(Command::Ask { get, outcome_sender, ticket_sender });
+        let ticket = ticket_receiver.recv().unwrap_or_default();
+        PendingCall { commands: self.commands.clone(), ticket, outcome, is_waited_for: false }
     }
 }
 
 impl Drop for Handle {
     fn drop(&mut self) {
-        let _ = self.says.send(Say::Stop);
+        let _ = self.commands.send(Command::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-impl Pending {
+impl PendingCall {
+    /// Waits for the outcome.
     pub fn wait(mut self) -> Outcome {
-        self.told = true;
-        // A client that is gone can't say whether it ran.
+        self.is_waited_for = true;
+        // After the end of the client thread it is unknown whether the GET ran.
         self.outcome.recv().unwrap_or(Outcome::MayHaveRun)
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingCall {
     fn drop(&mut self) {
-        if !self.told {
-            let _ = self.says.send(Say::Abandon(self.ticket));
+        if !self.is_waited_for {
+            let _ = self.commands.send(Command::Abandon(self.ticket));
         }
     }
 }
 
-fn run(mut client: Client, said: &Receiver<Say>) {
-    let mut waits = BTreeMap::<Ticket, Sender<Outcome>>::new();
+fn run(mut client: Client, commands: &Receiver<Command>) {
+    let mut outcome_senders = BTreeMap::<Ticket, Sender<Outcome>>::new();
     loop {
-        // With nothing in hand it sleeps on what is said; else on its sockets, and looks what is said often.
-        let first = if client.in_hand() == 0 {
-            match said.recv_timeout(IDLE) {
-                Ok(say) => Some(say),
+        // Without calls in flight the thread waits for commands. Otherwise it waits for the sockets and polls for commands.
+        let first = if client.in_flight() == 0 {
+            match commands.recv_timeout(IDLE_POLL_INTERVAL) {
+                Ok(command) => Some(command),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         } else {
-            match said.try_recv() {
-                Ok(say) => Some(say),
+            match commands.try_recv() {
+                Ok(command) => Some(command),
                 Err(TryRecvError::Empty) => None,
                 Err(TryRecvError::Disconnected) => return,
             }
         };
-        for say in first.into_iter().chain(std::iter::from_fn(|| said.try_recv().ok())) {
-            match say {
-                Say::Ask(get, tell, name) => {
+        for command in first.into_iter().chain(std::iter::from_fn(|| commands.try_recv().ok())) {
+            match command {
+                Command::Ask { get, outcome_sender, ticket_sender } => {
                     let ticket = client.ask(get);
-                    waits.insert(ticket, tell);
-                    let _ = name.send(ticket);
+                    outcome_senders.insert(ticket, outcome_sender);
+                    let _ = ticket_sender.send(ticket);
                 }
-                Say::Abandon(ticket) => {
-                    waits.remove(&ticket);
+                Command::Abandon(ticket) => {
+                    outcome_senders.remove(&ticket);
                     client.abandon(ticket);
                 }
-                Say::Stop => return,
+                Command::Stop => return,
             }
         }
-        let most = if client.in_hand() == 0 { Duration::ZERO } else { LOOK };
-        if let Err(fault) = client.turn(most) {
-            return log::error!("the client ended: {fault}");
+        let max_wait = if client.in_flight() == 0 { Duration::ZERO } else { COMMAND_POLL_INTERVAL };
+        if let Err(error) = client.turn(max_wait) {
+            return log::error!(
+                "client thread ended: {error}; calls in flight and later ones end as \"may have run\""
+            );
         }
         while let Some((ticket, outcome)) = client.next_outcome() {
-            if let Some(tell) = waits.remove(&ticket) {
-                let _ = tell.send(outcome);
+            if let Some(outcome_sender) = outcome_senders.remove(&ticket) {
+                let _ = outcome_sender.send(outcome);
             }
         }
     }
--- a/crates/client/src/terms.rs
+++ b/crates/client/src/terms.rs
@@ -1,17 +1,17 @@
-//! The words of the library: what is asked, how a call ends, and what a try may come to.
+//! The public types of the library: calls, their outcomes, and the ends of attempts.
 
 use bytes::Bytes;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a second run of a GET does.
+/// The effect of running a GET a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// A second run has no effect.
     Idempotent,
-    /// Nothing within the group of the dispatcher that may have run it, and for so long.
+    /// A second run has no effect if it is in the group of the dispatcher that may have run the GET, within the window.
     Tokened { window: Duration },
-    /// Harm: it happens again.
+    /// A second run repeats the effect, which does harm.
     NonIdempotent,
 }
 
@@ -22,110 +22,115 @@
     pub effect: Effect,
 }
 
-/// A dispatcher that GETs may go to.
+/// A dispatcher that GETs may be sent to.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Dispatcher {
     pub address: SocketAddr,
     /// Dispatchers of one group drop each other's repeats of a tokened GET.
     pub group: u64,
-    /// How many clients like this one share it, as far as is known; what a crowd's return is spread by.
+    /// Approximate number of clients that use the same dispatcher. Reconnects after a loss are spread in proportion to it.
     pub sharers: u32,
 }
 
-/// What is asked.
+/// A call.
 #[derive(Clone, Debug)]
 pub struct Get {
-    /// Position in the list of services.
+    /// Index into the list of services.
     pub service: usize,
-    /// For the whole of it, all tries and pauses included.
+    /// Time limit of the whole call, including all attempts and pauses.
     pub budget: Duration,
     pub object: u64,
-    pub part: u32,
+    pub chunk: u32,
     pub group: u32,
-    /// The tag of a copy that the caller holds; empty: none.
-    pub held: Bytes,
+    /// The tag of the version that the caller holds; empty if it holds none.
+    pub held_version: Bytes,
     pub body: Bytes,
 }
 
-/// The one outcome of a call.
+/// The outcome of a call. Each call has exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Returned(Returned),
-    /// It has not run, and trying again after the pause is harmless.
+    /// The GET has not run, and retrying it after the pause is harmless.
     Shed {
-        why: Shed,
+        reason: ShedReason,
         retry_after: Duration,
     },
-    /// It was answered with a failure; a GET with an effect has not run.
+    /// The GET was answered with a failure. A GET with an effect has not run.
     Errored,
-    /// It has, or has not: the caller must find out before it asks again.
+    /// It is unknown whether the GET has run. The caller must find out before it retries.
     MayHaveRun,
-    /// Its budget is over; it has no effect, whether or not it ran.
+    /// The budget is over. The GET has no effect, whether or not it ran.
     OutOfTime,
 }
 
+/// The answer to a returned call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Returned {
-    /// The caller's copy is the one; no bytes.
+    /// The version that the caller holds is valid; the body is empty.
     pub valid: bool,
     pub body: Bytes,
 }
 
-/// Who shed a call, and why.
+/// The reason for which a call was shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Shed {
-    /// A dispatcher, and there is no other.
+pub enum ShedReason {
+    /// A dispatcher refused the call, and no other can take it.
     ByDispatcher,
-    /// This library: every dispatcher has asked to be left alone for longer than the budget.
+    /// The library shed the call: every dispatcher has requested a pause longer than the budget.
     BackingOff,
-    /// This library: the share of retries is spent.
+    /// The library shed the call: the credit for retries is spent.
     RetriesSpent,
-    /// This library: no dispatcher can be reached in time.
+    /// The library shed the call: no dispatcher can be reached in time.
     NoDispatcher,
-    /// This library: as many calls as may be in hand are.
+    /// The library shed the call: the limit of calls in flight is reached.
     Full,
 }
 
-/// How a try ended, without an answer that returns it.
+/// The end of an attempt that did not return its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
     Shed,
     Errored,
-    /// The connection is over.
+    /// The connection has ended.
     Lost,
-    /// Nothing was heard for too long.
+    /// Nothing was read for too long.
     Silent,
-    /// What came can't be read.
+    /// The answer was malformed.
     Spoilt,
 }
 
-/// How far the bytes of a try got.
+/// How far the bytes of an attempt got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reached {
-    /// Not all of them left this machine: a request that is not whole is never taken.
+    /// Some bytes never left this machine. A dispatcher never accepts an incomplete request.
     NotWhole,
+    /// All bytes left this machine.
     Whole,
 }
 
-/// Whether a try may be followed by another.
+/// Where the next attempt of a GET may go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum RetryScope {
     Anywhere,
-    /// Only in the group and window of the one that may have run.
+    /// Only to the group of the dispatcher that may have run the GET, within the window.
     SameGroup,
     Never,
 }
 
-/// One try after the first, for the record.
+/// Record of an attempt after the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resend {
-    /// The identity of the GET: the id of its first try.
-    pub first: u64,
-    /// 1 for the second try.
-    pub number: u32,
-    /// How the try before it ended, and how far it had got.
+    /// Id of the first attempt, which identifies the GET.
+    pub first_id: u64,
+    /// 1 for the second attempt.
+    pub attempt: u32,
+    /// End of the attempt before this one.
     pub end: End,
+    /// How far the bytes of the attempt before this one got.
     pub reached: Reached,
+    /// Index of the dispatcher of the attempt before this one.
     pub from: usize,
+    /// Index of the dispatcher of this attempt.
     pub to: usize,
 }
--- a/crates/client/tests/decisions.rs
+++ b/crates/client/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What the core decides, as short traces and over generated schedules.
+//! Tests the decisions of the core with short traces and generated schedules.
 
 use myrtlegauge_client::decide::*;
 use myrtlegauge_client::*;
@@ -24,78 +24,92 @@
     ]
 }
 
-fn places(groups: &[u64]) -> Vec<Place> {
-    let place = |&group: &u64| Place { address: "127.0.0.1:1".parse().unwrap(), group, sharers: 100 };
-    groups.iter().map(place).collect()
+fn dispatchers(groups: &[u64]) -> Vec<Dispatcher> {
+    let dispatcher =
+        |&group: &u64| Dispatcher { address: "127.0.0.1:1".parse().unwrap(), group, sharers: 100 };
+    groups.iter().map(dispatcher).collect()
 }
 
-/// What is out, and all that was said of it.
+/// Records the actions of the core and the attempts in flight.
 #[derive(Default)]
 struct Trace {
     now: Duration,
     text: String,
-    /// Links that were opened and not closed, with their dispatcher.
-    links: BTreeMap<LinkId, usize>,
-    /// Tries that are out: link and number, with their call.
-    out: Vec<(LinkId, u16, CallId, usize)>,
-    sent: Vec<(Duration, usize, CallId, Mark, Duration)>,
-    done: Vec<(Duration, CallId, Ended)>,
+    /// Open connections and their dispatchers.
+    connections: BTreeMap<ConnectionId, usize>,
+    /// Attempts in flight: connection, request number, call and dispatcher.
+    in_flight: Vec<(ConnectionId, u16, CallId, usize)>,
+    sent: Vec<(Duration, usize, CallId, AttemptId, Duration)>,
+    finished: Vec<(Duration, CallId, CallOutcome)>,
     resends: Vec<Resend>,
 }
 
-impl Carry for Trace {
-    fn connect(&mut self, link: LinkId, place: usize) {
-        self.links.insert(link, place);
-        let _ = writeln!(self.text, "{:>6} connect to {place}", self.now.as_millis());
+impl ActionSink for Trace {
+    fn connect(&mut self, connection: ConnectionId, dispatcher: usize) {
+        self.connections.insert(connection, dispatcher);
+        let _ = writeln!(self.text, "{:>6} connect to {dispatcher}", self.now.as_millis());
     }
-    fn send(&mut self, link: LinkId, number: u16, call: CallId, mark: Mark, left: Duration) {
-        let place = self.links[&link];
-        self.out.push((link, number, call, place));
-        self.sent.push((self.now, place, call, mark, left));
+    fn send(
+        &mut self,
+        connection: ConnectionId,
+        number: u16,
+        call: CallId,
+        attempt_id: AttemptId,
+        remaining: Duration,
+    ) {
+        let dispatcher = self.connections[&connection];
+        self.in_flight.push((connection, number, call, dispatcher));
+        self.sent.push((self.now, dispatcher, call, attempt_id, remaining));
         let at = self.now.as_millis();
-        let _ = writeln!(self.text, "{at:>6} call {call} to {place}, try {}, {left:?} left", mark.number);
+        let _ = writeln!(
+            self.text,
+            "{at:>6} call {call} to {dispatcher}, attempt {}, {remaining:?} left",
+            attempt_id.attempt
+        );
     }
-    fn abort(&mut self, link: LinkId, number: u16) {
-        self.out.retain(|(l, n, ..)| (*l, *n) != (link, number));
+    fn abort(&mut self, connection: ConnectionId, number: u16) {
+        self.in_flight.retain(|(open_connection, open_number, ..)| {
+            (*open_connection, *open_number) != (connection, number)
+        });
         let _ = writeln!(self.text, "{:>6} abort", self.now.as_millis());
     }
-    fn close(&mut self, link: LinkId) {
-        self.links.remove(&link);
-        self.out.retain(|(l, ..)| *l != link);
+    fn close(&mut self, connection: ConnectionId) {
+        self.connections.remove(&connection);
+        self.in_flight.retain(|(open_connection, ..)| *open_connection != connection);
     }
-    fn done(&mut self, call: CallId, end: Ended) {
-        self.done.push((self.now, call, end));
-        let _ = writeln!(self.text, "{:>6} call {call}: {end:?}", self.now.as_millis());
+    fn finish(&mut self, call: CallId, outcome: CallOutcome) {
+        self.finished.push((self.now, call, outcome));
+        let _ = writeln!(self.text, "{:>6} call {call}: {outcome:?}", self.now.as_millis());
     }
-    fn resent(&mut self, resend: &Resend) {
+    fn record_resend(&mut self, resend: &Resend) {
         self.resends.push(*resend);
     }
 }
 
-struct Rig {
+struct CoreRig {
     core: Core,
     trace: Trace,
 }
 
-impl Rig {
+impl CoreRig {
     fn new(groups: &[u64]) -> Self {
-        Self { core: Core::new(services(), places(groups), 7), trace: Trace::default() }
+        Self { core: Core::new(services(), dispatchers(groups), 7), trace: Trace::default() }
     }
 
-    fn round<T>(&mut self, said: impl FnOnce(&mut Round<'_, Trace>) -> T) -> T {
+    fn round<T>(&mut self, handle_events: impl FnOnce(&mut Round<'_, Trace>) -> T) -> T {
         let now = self.trace.now;
-        self.core.round(now, &mut self.trace, said)
+        self.core.round(now, &mut self.trace, handle_events)
     }
 
-    /// Lets time pass, with a round whenever one is due.
-    fn pass(&mut self, by: Duration) {
-        let until = self.trace.now + by;
+    /// Advances the time, with a round whenever one is due.
+    fn advance(&mut self, duration: Duration) {
+        let until = self.trace.now + duration;
         for _ in 0..10_000 {
-            let due = self.core.due().filter(|&due| due <= until);
+            let due = self.core.next_deadline().filter(|&due| due <= until);
             let Some(due) = due else { break };
             self.trace.now = self.trace.now.max(due);
             self.round(|_| ());
-            if self.core.due() == Some(due) {
+            if self.core.next_deadline() == Some(due) {
                 self.trace.now += ms(1);
             }
         }
@@ -103,69 +117,75 @@
         self.round(|_| ());
     }
 
-    fn take(&mut self, service: usize, budget: u64) -> CallId {
-        self.round(|round| round.take(service, ms(budget)))
+    fn call(&mut self, service: usize, budget_ms: u64) -> CallId {
+        self.round(|round| round.on_call(service, ms(budget_ms)))
     }
 
-    /// All connections that wait come up.
-    fn up(&mut self) {
-        let links: Vec<_> = self.trace.links.keys().copied().collect();
-        self.round(|round| links.iter().for_each(|&link| round.up(link)));
+    /// Establishes all open connections.
+    fn establish_connections(&mut self) {
+        let connections: Vec<_> = self.trace.connections.keys().copied().collect();
+        self.round(|round| connections.iter().for_each(|&connection| round.on_connected(connection)));
     }
 
-    fn out(&self, call: CallId) -> Option<(LinkId, u16)> {
-        self.trace.out.iter().find(|(.., c, _)| *c == call).map(|(link, number, ..)| (*link, *number))
+    fn attempt_of(&self, call: CallId) -> Option<(ConnectionId, u16)> {
+        self.trace
+            .in_flight
+            .iter()
+            .find(|(.., sent_call, _)| *sent_call == call)
+            .map(|(connection, number, ..)| (*connection, *number))
     }
 
-    fn answer(&mut self, call: CallId, answer: Answered) {
-        let (link, number) = self.out(call).expect("a try of it is out");
-        self.trace.out.retain(|(l, n, ..)| (*l, *n) != (link, number));
-        self.round(|round| round.answered(link, number, answer));
+    fn answer(&mut self, call: CallId, answer: DispatcherAnswer) {
+        let (connection, number) = self.attempt_of(call).expect("an attempt of the call is in flight");
+        self.trace.in_flight.retain(|(open_connection, open_number, ..)| {
+            (*open_connection, *open_number) != (connection, number)
+        });
+        self.round(|round| round.on_answer(connection, number, answer));
     }
 
-    fn lose(&mut self, link: LinkId, reached: Reached) {
-        self.round(|round| round.lost(link, End::Lost, |_| reached));
+    fn lose(&mut self, connection: ConnectionId, reached: Reached) {
+        self.round(|round| round.on_connection_lost(connection, End::Lost, |_| reached));
     }
 
-    /// Earns retries by calls that are returned.
-    fn earn(&mut self, count: usize) {
+    /// Adds retry credit by calls that are returned.
+    fn add_retry_credit(&mut self, count: usize) {
         for _ in 0..count {
-            let call = self.take(VIDEO, 1000);
-            self.up();
-            self.answer(call, Answered::Returned);
+            let call = self.call(VIDEO, 1000);
+            self.establish_connections();
+            self.answer(call, DispatcherAnswer::Returned);
         }
         self.trace.text.clear();
     }
 }
 
 #[test]
-fn the_table_of_what_may_follow() {
+fn the_retry_scope_depends_on_effect_end_and_bytes_sent() {
     let mut table = String::new();
     for effect in [Effect::Idempotent, Effect::Tokened { window: ms(1) }, Effect::NonIdempotent] {
         for end in [End::Shed, End::Errored, End::Lost, End::Silent, End::Spoilt] {
-            let [part, whole] =
-                [Reached::NotWhole, Reached::Whole].map(|reached| again(effect, end, reached));
-            writeln!(table, "{effect:?} {end:?}: not whole {part:?}, whole {whole:?}").unwrap();
+            let [not_whole, whole] =
+                [Reached::NotWhole, Reached::Whole].map(|reached| retry_scope(effect, end, reached));
+            writeln!(table, "{effect:?} {end:?}: not whole {not_whole:?}, whole {whole:?}").unwrap();
         }
     }
     insta::assert_snapshot!(table);
 }
 
 #[test]
-fn a_lost_connection_sends_again_what_can_not_have_run_and_tells_what_may_have() {
-    let mut rig = Rig::new(&[0, 0]);
-    rig.earn(3);
+fn a_lost_connection_retries_calls_that_can_not_have_run_and_reports_those_that_may_have() {
+    let mut rig = CoreRig::new(&[0, 0]);
+    rig.add_retry_credit(3);
     for reached in [Reached::NotWhole, Reached::Whole] {
-        let [video, confirm] = [rig.take(VIDEO, 1000), rig.take(CONFIRM, 1000)];
-        rig.up();
-        let link = rig.out(confirm).or(rig.out(video)).unwrap().0;
-        rig.lose(link, reached);
-        rig.pass(ms(400));
-        rig.up();
-        rig.pass(ms(1));
+        let [video, confirm] = [rig.call(VIDEO, 1000), rig.call(CONFIRM, 1000)];
+        rig.establish_connections();
+        let connection = rig.attempt_of(confirm).or(rig.attempt_of(video)).unwrap().0;
+        rig.lose(connection, reached);
+        rig.advance(ms(400));
+        rig.establish_connections();
+        rig.advance(ms(1));
         for call in [video, confirm] {
-            if rig.out(call).is_some() {
-                rig.answer(call, Answered::Returned);
+            if rig.attempt_of(call).is_some() {
+                rig.answer(call, DispatcherAnswer::Returned);
             }
         }
         writeln!(rig.trace.text).unwrap();
@@ -174,158 +194,195 @@
 }
 
 #[test]
-fn a_refusal_is_kept_by_all_calls_and_what_has_nowhere_to_go_is_shed_at_once() {
-    let mut rig = Rig::new(&[0, 0]);
-    rig.earn(10);
-    let first = rig.take(VIDEO, 3000);
-    rig.up();
-    rig.answer(first, Answered::Shed(Some(800.0)));
-    rig.up();
-    rig.answer(first, Answered::Shed(Some(300.0)));
-    // Both have asked to be left alone.
-    let second = rig.take(CONFIRM, 3000);
-    rig.pass(ms(301));
-    let third = rig.take(CONFIRM, 3000);
-    rig.up();
-    assert_eq!(rig.trace.done.iter().find(|(_, call, _)| *call == second).map(|(at, ..)| *at), Some(ms(0)));
-    assert!(rig.out(third).is_some());
+fn a_refusal_pauses_all_calls_and_a_call_without_a_dispatcher_is_shed_at_once() {
+    let mut rig = CoreRig::new(&[0, 0]);
+    rig.add_retry_credit(10);
+    let first = rig.call(VIDEO, 3000);
+    rig.establish_connections();
+    rig.answer(first, DispatcherAnswer::Shed(Some(800.0)));
+    rig.establish_connections();
+    rig.answer(first, DispatcherAnswer::Shed(Some(300.0)));
+    // Both dispatchers have requested a pause.
+    let second = rig.call(CONFIRM, 3000);
+    rig.advance(ms(301));
+    let third = rig.call(CONFIRM, 3000);
+    rig.establish_connections();
+    assert_eq!(
+        rig.trace.finished.iter().find(|(_, call, _)| *call == second).map(|(at, ..)| *at),
+        Some(ms(0))
+    );
+    assert!(rig.attempt_of(third).is_some());
     insta::assert_snapshot!(rig.trace.text);
 }
 
 #[test]
-fn odd_pauses_are_bounded() {
-    let told = [Some(0.0), Some(-5.0), Some(3.15e10), Some(f64::NAN), Some(f64::INFINITY), None, Some(700.0)];
-    let kept = told.map(|told| pause(told).as_millis());
-    assert_eq!(kept, [20, 500, 60_000, 500, 500, 500, 700]);
+fn pauses_out_of_range_are_bounded() {
+    let requested =
+        [Some(0.0), Some(-5.0), Some(3.15e10), Some(f64::NAN), Some(f64::INFINITY), None, Some(700.0)];
+    let pauses = requested.map(|requested_ms| pause_after_refusal(requested_ms).as_millis());
+    assert_eq!(pauses, [20, 500, 60_000, 500, 500, 500, 700]);
 }
 
 #[test]
-fn retries_are_a_share_of_first_tries_and_then_shed_by_name() {
-    let mut rig = Rig::new(&[0]);
-    for n in 0..400 {
-        let call = rig.take(VIDEO, 1000);
-        rig.up();
-        // Every second GET errs at its first try.
-        if n % 2 == 1 {
-            rig.answer(call, Answered::Errored);
-            rig.up();
+fn retries_are_limited_to_a_fraction_of_first_attempts_and_then_shed_as_retries_spent() {
+    let mut rig = CoreRig::new(&[0]);
+    for index in 0..400 {
+        let call = rig.call(VIDEO, 1000);
+        rig.establish_connections();
+        // Every second GET fails at its first attempt.
+        if index % 2 == 1 {
+            rig.answer(call, DispatcherAnswer::Errored);
+            rig.establish_connections();
         }
-        if rig.out(call).is_some() {
-            rig.answer(call, Answered::Returned);
+        if rig.attempt_of(call).is_some() {
+            rig.answer(call, DispatcherAnswer::Returned);
         }
-        rig.pass(ms(1100));
+        rig.advance(ms(1100));
     }
-    let firsts = rig.trace.sent.iter().filter(|(.., mark, _)| mark.number == 0).count() as f64;
+    let first_attempts =
+        rig.trace.sent.iter().filter(|(.., attempt_id, _)| attempt_id.attempt == 0).count() as f64;
     let retries = rig.trace.resends.len() as f64;
-    assert!(retries <= firsts * 0.1 + 3.0, "{retries} retries of {firsts}");
-    let spent =
-        rig.trace.done.iter().filter(|(.., end)| matches!(end, Ended::Shed { why: Shed::RetriesSpent, .. }));
+    assert!(retries <= first_attempts * 0.1 + 3.0, "{retries} retries of {first_attempts} first attempts");
+    let spent = rig.trace.finished.iter().filter(|(.., outcome)| {
+        matches!(outcome, CallOutcome::Shed { reason: ShedReason::RetriesSpent, .. })
+    });
     assert!(spent.count() > 0);
 }
 
 #[test]
-fn a_budget_is_for_all_tries_and_told_as_what_is_left() {
-    let mut rig = Rig::new(&[0, 0]);
-    rig.earn(10);
-    let call = rig.take(VIDEO, 1000);
-    rig.up();
-    rig.pass(ms(240));
-    rig.answer(call, Answered::Errored);
-    rig.up();
-    rig.pass(ms(700));
+fn a_budget_covers_all_attempts_and_each_is_sent_with_the_remaining_time() {
+    let mut rig = CoreRig::new(&[0, 0]);
+    rig.add_retry_credit(10);
+    let call = rig.call(VIDEO, 1000);
+    rig.establish_connections();
+    rig.advance(ms(240));
+    rig.answer(call, DispatcherAnswer::Errored);
+    rig.establish_connections();
+    rig.advance(ms(700));
     let text = rig.trace.text.clone();
-    let told: Vec<_> = rig.trace.sent.iter().rev().take(3).map(|(.., left)| left.as_millis()).collect();
-    // The second try's dispatcher says nothing for a quarter second.
-    assert_eq!(told, [510, 760, 1000], "{text}");
-    // The third one too: it is given up at once, not held until the budget is over.
-    let (at, ended, end) = *rig.trace.done.last().unwrap();
-    assert!(ended == call && at < ms(1000) && matches!(end, Ended::Shed { .. }), "{text}");
+    let remaining_ms: Vec<_> =
+        rig.trace.sent.iter().rev().take(3).map(|(.., remaining)| remaining.as_millis()).collect();
+    // The dispatcher of the second attempt is silent for 250 ms.
+    assert_eq!(remaining_ms, [510, 760, 1000], "{text}");
+    // The third is silent too: the call ends at once and does not wait for the end of its budget.
+    let (finished_at, finished_call, outcome) = *rig.trace.finished.last().unwrap();
+    assert!(
+        finished_call == call && finished_at < ms(1000) && matches!(outcome, CallOutcome::Shed { .. }),
+        "{text}"
+    );
 }
 
 #[test]
-fn a_silent_dispatcher_is_left_and_a_slow_one_is_not() {
-    let mut rig = Rig::new(&[0, 0]);
-    rig.earn(10);
-    let [a, b] = [rig.take(VIDEO, 2000), rig.take(CONFIRM, 2000)];
-    rig.up();
-    let (slow, _) = rig.out(a).unwrap();
-    // Bytes of something come from one of them, nothing from the other.
+fn a_silent_connection_is_closed_and_a_slow_one_is_kept() {
+    let mut rig = CoreRig::new(&[0, 0]);
+    rig.add_retry_credit(10);
+    let [slow_call, silent_call] = [rig.call(VIDEO, 2000), rig.call(CONFIRM, 2000)];
+    rig.establish_connections();
+    let (slow_connection, _) = rig.attempt_of(slow_call).unwrap();
+    // Bytes of some kind arrive from one dispatcher and none from the other.
     for _ in 0..8 {
-        rig.pass(ms(60));
-        rig.round(|round| round.heard(slow));
+        rig.advance(ms(60));
+        rig.round(|round| round.on_bytes_read(slow_connection));
     }
-    let ends: Vec<_> =
-        rig.trace.done.iter().filter(|(_, call, _)| *call == b).map(|(.., end)| *end).collect();
-    let lives = rig.trace.out.iter().any(|(link, _, call, _)| (*link, *call) == (slow, a));
-    assert!(lives, "{}", rig.trace.text);
-    if rig.trace.sent.iter().filter(|(_, _, call, ..)| *call == b).count() == 1 {
-        assert!(ends.is_empty() || ends == [Ended::MayHaveRun], "{}", rig.trace.text);
+    let outcomes: Vec<_> = rig
+        .trace
+        .finished
+        .iter()
+        .filter(|(_, call, _)| *call == silent_call)
+        .map(|(.., outcome)| *outcome)
+        .collect();
+    let is_slow_connection_kept = rig
+        .trace
+        .in_flight
+        .iter()
+        .any(|(connection, _, call, _)| (*connection, *call) == (slow_connection, slow_call));
+    assert!(is_slow_connection_kept, "{}", rig.trace.text);
+    if rig.trace.sent.iter().filter(|(_, _, call, ..)| *call == silent_call).count() == 1 {
+        assert!(outcomes.is_empty() || outcomes == [CallOutcome::MayHaveRun], "{}", rig.trace.text);
     }
 }
 
 #[test]
 fn a_tokened_call_that_may_have_run_stays_in_its_group_and_window() {
-    let mut rig = Rig::new(&[1, 2, 1]);
-    rig.earn(20);
-    let call = rig.take(ORDER, 10_000);
-    rig.up();
-    let from = rig.trace.sent.last().unwrap().1;
-    rig.answer(call, Answered::Errored);
-    rig.up();
-    rig.pass(ms(5));
-    let group = |place: usize| [1, 2, 1][place];
-    let tries: Vec<_> =
-        rig.trace.sent.iter().filter(|(_, _, c, mark, _)| *c == call && mark.number > 0).collect();
-    assert!(tries.iter().all(|(_, place, ..)| group(*place) == group(from)), "{}", rig.trace.text);
-    rig.pass(ms(2500));
-    if rig.out(call).is_some() {
-        rig.answer(call, Answered::Errored);
-        assert_eq!(rig.trace.done.last().map(|(.., end)| *end), Some(Ended::MayHaveRun), "past the window");
+    let mut rig = CoreRig::new(&[1, 2, 1]);
+    rig.add_retry_credit(20);
+    let call = rig.call(ORDER, 10_000);
+    rig.establish_connections();
+    let first_dispatcher = rig.trace.sent.last().unwrap().1;
+    rig.answer(call, DispatcherAnswer::Errored);
+    rig.establish_connections();
+    rig.advance(ms(5));
+    let group = |dispatcher: usize| [1, 2, 1][dispatcher];
+    let retries: Vec<_> = rig
+        .trace
+        .sent
+        .iter()
+        .filter(|(_, _, sent_call, attempt_id, _)| *sent_call == call && attempt_id.attempt > 0)
+        .collect();
+    assert!(
+        retries.iter().all(|(_, dispatcher, ..)| group(*dispatcher) == group(first_dispatcher)),
+        "{}",
+        rig.trace.text
+    );
+    rig.advance(ms(2500));
+    if rig.attempt_of(call).is_some() {
+        rig.answer(call, DispatcherAnswer::Errored);
+        assert_eq!(
+            rig.trace.finished.last().map(|(.., end)| *end),
+            Some(CallOutcome::MayHaveRun),
+            "after the window"
+        );
     }
 }
 
 #[test]
-fn a_crowd_that_lost_its_dispatcher_in_one_instant_comes_back_spread() {
-    let mut came = [0u32; 14];
+fn clients_that_lost_a_dispatcher_at_the_same_instant_reconnect_spread_over_time() {
+    let mut reconnects = [0u32; 14];
     for seed in 0..1000 {
-        let place = Place { address: "127.0.0.1:1".parse().unwrap(), group: 0, sharers: 4000 };
-        let mut rig = Rig { core: Core::new(services(), vec![place], seed), trace: Trace::default() };
-        let call = rig.take(VIDEO, 5000);
-        rig.up();
-        let link = rig.out(call).unwrap().0;
-        rig.lose(link, Reached::Whole);
-        rig.trace.links.clear();
-        while rig.trace.links.is_empty() {
-            rig.pass(ms(5));
+        let dispatcher = Dispatcher { address: "127.0.0.1:1".parse().unwrap(), group: 0, sharers: 4000 };
+        let mut rig =
+            CoreRig { core: Core::new(services(), vec![dispatcher], seed), trace: Trace::default() };
+        let call = rig.call(VIDEO, 5000);
+        rig.establish_connections();
+        let connection = rig.attempt_of(call).unwrap().0;
+        rig.lose(connection, Reached::Whole);
+        rig.trace.connections.clear();
+        while rig.trace.connections.is_empty() {
+            rig.advance(ms(5));
         }
-        came[(rig.trace.now.as_millis() / 100) as usize] += 1;
+        reconnects[(rig.trace.now.as_millis() / 100) as usize] += 1;
     }
-    let (busy, worst) = (came.iter().filter(|n| **n > 0).count() as f64, *came.iter().max().unwrap());
-    assert!(busy >= 10.0, "{came:?}");
-    assert!(f64::from(worst) < 3.0 * 1000.0 / busy, "{came:?}");
+    let (used_slots, max_reconnects) =
+        (reconnects.iter().filter(|count| **count > 0).count() as f64, *reconnects.iter().max().unwrap());
+    assert!(used_slots >= 10.0, "{reconnects:?}");
+    assert!(f64::from(max_reconnects) < 3.0 * 1000.0 / used_slots, "{reconnects:?}");
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Take(usize, u16),
-    Drop(usize),
-    Up,
-    Answer(usize, u8, i16),
-    Lose(usize, bool),
-    Heard(usize),
-    Pass(u16),
+    Call { service: usize, budget_ms: u16 },
+    Abandon(usize),
+    Establish,
+    Answer { index: usize, kind: u8, pause_ms: i16 },
+    Lose { index: usize, is_fully_sent: bool },
+    ReadBytes(usize),
+    Advance(u16),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        (0usize..3, 1u16..3000).prop_map(|(service, budget)| Step::Take(service, budget)),
-        (0usize..3, 1u16..3000).prop_map(|(service, budget)| Step::Take(service, budget)),
-        (0usize..8).prop_map(Step::Drop),
-        Just(Step::Up),
-        (0usize..8, 0u8..4, -100i16..2000).prop_map(|(at, how, pause)| Step::Answer(at, how, pause)),
-        (0usize..4, any::<bool>()).prop_map(|(at, whole)| Step::Lose(at, whole)),
-        (0usize..4).prop_map(Step::Heard),
-        (1u16..500).prop_map(Step::Pass),
+        (0usize..3, 1u16..3000).prop_map(|(service, budget_ms)| Step::Call { service, budget_ms }),
+        (0usize..3, 1u16..3000).prop_map(|(service, budget_ms)| Step::Call { service, budget_ms }),
+        (0usize..8).prop_map(Step::Abandon),
+        Just(Step::Establish),
+        (0usize..8, 0u8..4, -100i16..2000).prop_map(|(index, kind, pause_ms)| Step::Answer {
+            index,
+            kind,
+            pause_ms
+        }),
+        (0usize..4, any::<bool>()).prop_map(|(index, is_fully_sent)| Step::Lose { index, is_fully_sent }),
+        (0usize..4).prop_map(Step::ReadBytes),
+        (1u16..500).prop_map(Step::Advance),
     ];
     proptest::collection::vec(step, 1..120)
 }
@@ -334,121 +391,126 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_schedule_keeps_every_promise(steps in steps(), seed in any::<u64>()) {
+    fn any_schedule_keeps_the_rules_on_retries_pauses_and_outcomes(steps in steps(), seed in any::<u64>()) {
         let groups = [1, 2, 1];
-        let mut rig = Rig { core: Core::new(services(), places(&groups), seed), trace: Trace::default() };
-        // By the first try's id: the service, and what may have run, where and when.
-        let mut asked: Vec<(usize, Duration, Duration)> = Vec::new();
-        let mut dropped = 0;
+        let mut rig = CoreRig { core: Core::new(services(), dispatchers(&groups), seed), trace: Trace::default() };
+                let mut calls: Vec<(usize, Duration, Duration)> = Vec::new();
+        let mut abandoned = 0;
         let mut paused: BTreeMap<usize, Duration> = BTreeMap::new();
-        let mut ran: BTreeMap<u64, (usize, Duration, usize)> = BTreeMap::new();
-        let mut seen = 0;
+        // By the id of the first attempt: service, time and dispatcher of an attempt that may have run.
+        let mut may_have_run: BTreeMap<u64, (usize, Duration, usize)> = BTreeMap::new();
+        let mut checked = 0;
         for step in steps {
             match step {
-                Step::Take(service, budget) => {
-                    asked.push((service, rig.trace.now, ms(budget.into())));
-                    rig.take(service, budget.into());
+                Step::Call { service, budget_ms } => {
+                    calls.push((service, rig.trace.now, ms(budget_ms.into())));
+                    rig.call(service, budget_ms.into());
                 }
-                Step::Drop(at) => {
-                    if let Some(&(.., call, _)) = rig.trace.out.get(at) {
-                        rig.round(|round| round.dropped(call));
-                        dropped += 1;
+                Step::Abandon(index) => {
+                    if let Some(&(.., call, _)) = rig.trace.in_flight.get(index) {
+                        rig.round(|round| round.on_abandoned(call));
+                        abandoned += 1;
                     }
                 }
-                Step::Up => rig.up(),
-                Step::Answer(at, how, told) => {
-                    let Some(&(link, number, call, place)) = rig.trace.out.get(at) else { continue };
-                    let answer = match how {
-                        0 | 1 => Answered::Returned,
-                        2 => Answered::Shed(Some(told.into())),
-                        _ => Answered::Errored,
+                Step::Establish => rig.establish_connections(),
+                Step::Answer { index, kind, pause_ms } => {
+                    let Some(&(connection, number, call, dispatcher)) = rig.trace.in_flight.get(index) else { continue };
+                    let answer = match kind {
+                        0 | 1 => DispatcherAnswer::Returned,
+                        2 => DispatcherAnswer::Shed(Some(pause_ms.into())),
+                        _ => DispatcherAnswer::Errored,
                     };
-                    if let Answered::Shed(told) = answer {
-                        let until = rig.trace.now + pause(told);
-                        let known = paused.entry(place).or_default();
-                        *known = until.max(*known);
+                    if let DispatcherAnswer::Shed(requested_ms) = answer {
+                        let until = rig.trace.now + pause_after_refusal(requested_ms);
+                        let paused_until = paused.entry(dispatcher).or_default();
+                        *paused_until = until.max(*paused_until);
                     }
-                    if answer == Answered::Errored {
-                        note(&rig, call, &mut ran);
+                    if answer == DispatcherAnswer::Errored {
+                        record_run(&rig, call, &mut may_have_run);
                     }
-                    rig.trace.out.retain(|(l, n, ..)| (*l, *n) != (link, number));
-                    rig.round(|round| round.answered(link, number, answer));
+                    rig.trace.in_flight.retain(|(open_connection, open_number, ..)| (*open_connection, *open_number) != (connection, number));
+                    rig.round(|round| round.on_answer(connection, number, answer));
                 }
-                Step::Lose(at, whole) => {
-                    let Some((&link, _)) = rig.trace.links.iter().nth(at) else { continue };
-                    let reached = if whole { Reached::Whole } else { Reached::NotWhole };
-                    if whole {
-                        let calls: Vec<_> = rig.trace.out.iter().filter(|(l, ..)| *l == link).map(|(.., c, _)| *c).collect();
-                        calls.iter().for_each(|&call| note(&rig, call, &mut ran));
+                Step::Lose { index, is_fully_sent } => {
+                    let Some((&connection, _)) = rig.trace.connections.iter().nth(index) else { continue };
+                    let reached = if is_fully_sent { Reached::Whole } else { Reached::NotWhole };
+                    if is_fully_sent {
+                        let calls: Vec<_> = rig.trace.in_flight.iter().filter(|(open_connection, ..)| *open_connection == connection).map(|(.., call, _)| *call).collect();
+                        calls.iter().for_each(|&call| record_run(&rig, call, &mut may_have_run));
                     }
-                    rig.lose(link, reached);
+                    rig.lose(connection, reached);
                 }
-                Step::Heard(at) => {
-                    let Some((&link, _)) = rig.trace.links.iter().nth(at) else { continue };
-                    rig.round(|round| round.heard(link));
+                Step::ReadBytes(index) => {
+                    let Some((&connection, _)) = rig.trace.connections.iter().nth(index) else { continue };
+                    rig.round(|round| round.on_bytes_read(connection));
                 }
-                Step::Pass(by) => rig.pass(ms(by.into())),
+                Step::Advance(duration_ms) => rig.advance(ms(duration_ms.into())),
             }
-            for (at, place, _, mark, left) in &rig.trace.sent[seen..] {
-                prop_assert!(!left.is_zero(), "nothing is sent without time");
-                prop_assert!(paused.get(place).is_none_or(|until| at >= until), "a pause is kept");
-                if let Some((service, since, from)) = ran.get(&mark.first) {
+            for (sent_at, dispatcher, _, attempt_id, remaining) in &rig.trace.sent[checked..] {
+                prop_assert!(!remaining.is_zero(), "an attempt was sent without remaining time");
+                prop_assert!(paused.get(dispatcher).is_none_or(|until| sent_at >= until), "an attempt was sent during a pause");
+                if let Some((service, first_sent_at, first_dispatcher)) = may_have_run.get(&attempt_id.first_id) {
                     match services()[*service].effect {
-                        Effect::NonIdempotent => prop_assert!(false, "sent again though it may have run"),
+                        Effect::NonIdempotent => prop_assert!(false, "a non-idempotent GET was sent again though it may have run"),
                         Effect::Tokened { window } => {
-                            prop_assert!(groups[*place] == groups[*from] && *at < *since + window);
+                            prop_assert!(groups[*dispatcher] == groups[*first_dispatcher] && *sent_at < *first_sent_at + window);
                         }
                         Effect::Idempotent => {}
                     }
                 }
             }
-            seen = rig.trace.sent.len();
+            checked = rig.trace.sent.len();
         }
-        rig.pass(ms(4000));
-        // One outcome for each call, within its budget.
-        prop_assert_eq!(rig.trace.done.len() + dropped, asked.len());
-        prop_assert_eq!(rig.core.in_hand(), 0);
-        let firsts = rig.trace.sent.iter().filter(|(.., mark, _)| mark.number == 0).count() as f64;
-        let whole = rig.trace.resends.iter().filter(|resend| resend.reached == Reached::Whole).count() as f64;
-        prop_assert!(whole <= firsts * 0.1 + 3.0 * 3.0 + 1e-6, "{} retries of {} first tries", whole, firsts);
+        rig.advance(ms(4000));
+        // Each call has one outcome within its budget.
+        prop_assert_eq!(rig.trace.finished.len() + abandoned, calls.len());
+        prop_assert_eq!(rig.core.in_flight(), 0);
+        let first_attempts = rig.trace.sent.iter().filter(|(.., attempt_id, _)| attempt_id.attempt == 0).count() as f64;
+        let fully_sent = rig.trace.resends.iter().filter(|resend| resend.reached == Reached::Whole).count() as f64;
+        prop_assert!(fully_sent <= first_attempts * 0.1 + 3.0 * 3.0 + 1e-6, "{} retries of {} first attempts", fully_sent, first_attempts);
     }
 }
 
-/// The service of a call is by its tries' marks and the order of asking: told by the core's own table here.
-fn note(rig: &Rig, call: CallId, ran: &mut BTreeMap<u64, (usize, Duration, usize)>) {
-    let Some((at, place, _, mark, _)) = rig.trace.sent.iter().rev().find(|(_, _, c, ..)| *c == call) else {
+/// Records that an attempt of a call may have run. The service of the call is read from the core.
+fn record_run(rig: &CoreRig, call: CallId, may_have_run: &mut BTreeMap<u64, (usize, Duration, usize)>) {
+    let Some((sent_at, dispatcher, _, attempt_id, _)) =
+        rig.trace.sent.iter().rev().find(|(_, _, sent_call, ..)| *sent_call == call)
+    else {
         return;
     };
-    let service = rig.core.service_of(call).expect("it is in hand");
-    ran.entry(mark.first).or_insert((service, *at, *place));
+    let service = rig.core.service_of(call).expect("the call is in flight");
+    may_have_run.entry(attempt_id.first_id).or_insert((service, *sent_at, *dispatcher));
 }
 
 #[test]
-fn a_deadline_that_falls_between_two_tries_begins_none_and_a_clock_that_jumps_harms_nothing() {
-    let mut rig = Rig::new(&[0]);
-    rig.earn(10);
-    // Answers take some 200 ms here, so that a try with 60 ms left can't end in time.
+fn no_attempt_starts_too_late_to_finish_and_clock_jumps_do_no_harm() {
+    let mut rig = CoreRig::new(&[0]);
+    rig.add_retry_credit(10);
+    // Answers take about 200 ms here, so an attempt with 60 ms left can't finish in time.
     for _ in 0..30 {
-        let call = rig.take(VIDEO, 1000);
-        rig.up();
-        rig.pass(ms(200));
-        rig.answer(call, Answered::Returned);
+        let call = rig.call(VIDEO, 1000);
+        rig.establish_connections();
+        rig.advance(ms(200));
+        rig.answer(call, DispatcherAnswer::Returned);
     }
-    let call = rig.take(VIDEO, 260);
-    rig.up();
-    rig.pass(ms(200));
-    let sent = rig.trace.sent.len();
-    rig.answer(call, Answered::Errored);
-    assert_eq!(rig.trace.sent.len(), sent, "no try that can't end");
-    assert_eq!(rig.trace.done.last().map(|(_, of, end)| (*of, *end)), Some((call, Ended::Errored)));
-    // Back by a second: time stands still; then on by a day: what is in hand is over, once.
-    let call = rig.take(VIDEO, 5000);
+    let call = rig.call(VIDEO, 260);
+    rig.establish_connections();
+    rig.advance(ms(200));
+    let sent_before = rig.trace.sent.len();
+    rig.answer(call, DispatcherAnswer::Errored);
+    assert_eq!(rig.trace.sent.len(), sent_before, "an attempt started that can't finish in time");
+    assert_eq!(
+        rig.trace.finished.last().map(|(_, finished_call, outcome)| (*finished_call, *outcome)),
+        Some((call, CallOutcome::Errored))
+    );
+    // The clock goes back by 100 ms, which the core treats as standing still, then forward by a day, which ends the call once.
+    let call = rig.call(VIDEO, 5000);
     rig.trace.now -= ms(100);
-    rig.up();
-    assert!(rig.out(call).is_some());
-    let before = rig.trace.done.len();
+    rig.establish_connections();
+    assert!(rig.attempt_of(call).is_some());
+    let finished_before = rig.trace.finished.len();
     rig.trace.now += Duration::from_secs(86_400);
     rig.round(|_| ());
     rig.round(|_| ());
-    assert_eq!(rig.trace.done.len(), before + 1);
+    assert_eq!(rig.trace.finished.len(), finished_before + 1);
 }
--- a/crates/client/tests/sockets.rs
+++ b/crates/client/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The library on sockets against a scripted dispatcher.
+//! Tests the library over sockets against a scripted dispatcher.
 
 use myrtlegauge_client::*;
 use std::io::{Read, Write};
@@ -11,108 +11,108 @@
     Duration::from_millis(ms)
 }
 
-/// What the dispatcher does with a connection.
+/// How the scripted dispatcher handles a connection.
 #[derive(Clone)]
-enum Plays {
-    /// Reads so many bytes and drops it.
-    ReadsThenDrops(usize),
-    /// Reads a whole request, writes so many bytes of the answer, and drops it.
-    AnswersThenDrops(usize),
-    /// Answers every request with this.
-    Answers(Vec<u8>),
-    /// Reads and says nothing.
+enum Behaviour {
+    /// Reads this many bytes, then closes the connection.
+    ReadThenClose(usize),
+    /// Reads a request, writes this many bytes of the answer, then closes the connection.
+    AnswerThenClose(usize),
+    /// Answers every request with this text.
+    Answer(Vec<u8>),
+    /// Reads requests and never answers.
     Silent,
-    /// Refuses the first request when its client has called it off already, and answers those after it.
-    RefusesLate,
+    /// Refuses the first request after its client has aborted it, and answers later ones.
+    RefuseLate,
 }
 
-struct Scripted {
+struct ScriptedDispatcher {
     address: SocketAddr,
-    /// Requests that came whole.
-    whole: Arc<AtomicUsize>,
-    plays: Arc<Mutex<Vec<Plays>>>,
+    /// Number of complete requests that were read.
+    requests_read: Arc<AtomicUsize>,
+    behaviours: Arc<Mutex<Vec<Behaviour>>>,
 }
 
 fn record(kind: u8, number: [u8; 2], content: &[u8]) -> Vec<u8> {
-    let long = (content.len() as u16).to_be_bytes();
-    [&[1, kind, number[0], number[1], long[0], long[1], 0, 0], content].concat()
+    let size = (content.len() as u16).to_be_bytes();
+    [&[1, kind, number[0], number[1], size[0], size[1], 0, 0], content].concat()
 }
 
 fn answer(number: [u8; 2], text: &str) -> Vec<u8> {
     [record(6, number, text.as_bytes()), record(3, number, &[0; 8])].concat()
 }
 
-const FINE: &str = "Status: 200\r\n\r\nbytes";
+const OK_RESPONSE: &str = "Status: 200\r\n\r\nbytes";
 
-impl Scripted {
-    /// Plays the given parts, one a connection, the last one for all that follow.
-    fn start(plays: Vec<Plays>) -> Self {
+impl ScriptedDispatcher {
+    /// Applies one behaviour to each connection, and the last one to all later connections.
+    fn start(behaviours: Vec<Behaviour>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (whole, plays) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(plays)));
-        let (count, script) = (Arc::clone(&whole), Arc::clone(&plays));
+        let (requests_read, behaviours) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(behaviours)));
+        let (count, script) = (Arc::clone(&requests_read), Arc::clone(&behaviours));
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
                 let mut script = script.lock().unwrap();
-                let part = if script.len() > 1 { script.remove(0) } else { script[0].clone() };
+                let behaviour = if script.len() > 1 { script.remove(0) } else { script[0].clone() };
                 let count = Arc::clone(&count);
-                std::thread::spawn(move || play(stream, &part, &count));
+                std::thread::spawn(move || serve(stream, &behaviour, &count));
             }
         });
-        Self { address, whole, plays }
+        Self { address, requests_read, behaviours }
     }
 
-    fn place(&self, group: u64) -> Place {
-        Place { address: self.address, group, sharers: 1 }
+    fn endpoint(&self, group: u64) -> Dispatcher {
+        Dispatcher { address: self.address, group, sharers: 1 }
     }
 }
 
-/// Reads a whole request; its number.
-fn request(stream: &mut TcpStream) -> Option<[u8; 2]> {
+/// Reads a complete request and returns its number.
+fn read_request(stream: &mut TcpStream) -> Option<[u8; 2]> {
     loop {
         let mut head = [0; 8];
         stream.read_exact(&mut head).ok()?;
-        let long = usize::from(u16::from_be_bytes([head[4], head[5]])) + usize::from(head[6]);
-        let mut content = vec![0; long];
+        let size = usize::from(u16::from_be_bytes([head[4], head[5]])) + usize::from(head[6]);
+        let mut content = vec![0; size];
         stream.read_exact(&mut content).ok()?;
-        if head[1] == 5 && long == 0 {
+        if head[1] == 5 && size == 0 {
             return Some([head[2], head[3]]);
         }
     }
 }
 
-fn play(mut stream: TcpStream, part: &Plays, whole: &AtomicUsize) {
-    match part {
-        Plays::ReadsThenDrops(bytes) => {
+fn serve(mut stream: TcpStream, behaviour: &Behaviour, requests_read: &AtomicUsize) {
+    match behaviour {
+        Behaviour::ReadThenClose(bytes) => {
             let _ = stream.read_exact(&mut vec![0; *bytes]);
         }
-        Plays::AnswersThenDrops(bytes) => {
-            let Some(number) = request(&mut stream) else { return };
-            whole.fetch_add(1, Ordering::SeqCst);
-            let answer = answer(number, FINE);
+        Behaviour::AnswerThenClose(bytes) => {
+            let Some(number) = read_request(&mut stream) else { return };
+            requests_read.fetch_add(1, Ordering::SeqCst);
+            let answer = answer(number, OK_RESPONSE);
             let _ = stream.write_all(&answer[..answer.len().min(*bytes)]);
         }
-        Plays::Answers(text) => {
-            while let Some(number) = request(&mut stream) {
-                whole.fetch_add(1, Ordering::SeqCst);
+        Behaviour::Answer(text) => {
+            while let Some(number) = read_request(&mut stream) {
+                requests_read.fetch_add(1, Ordering::SeqCst);
                 let text = String::from_utf8_lossy(text).into_owned();
                 if stream.write_all(&answer(number, &text)).is_err() {
                     return;
                 }
             }
         }
-        Plays::RefusesLate => {
-            let Some(first) = request(&mut stream) else { return };
+        Behaviour::RefuseLate => {
+            let Some(first) = read_request(&mut stream) else { return };
             std::thread::sleep(ms(80));
             let refusal = answer(first, "Status: 503\r\nBack-Off-Ms: 5000\r\n\r\n");
             if stream.write_all(&refusal).is_err() {
                 return;
             }
-            play(stream, &Plays::Answers(FINE.into()), whole);
+            serve(stream, &Behaviour::Answer(OK_RESPONSE.into()), requests_read);
         }
-        Plays::Silent => {
-            while request(&mut stream).is_some() {
-                whole.fetch_add(1, Ordering::SeqCst);
+        Behaviour::Silent => {
+            while read_request(&mut stream).is_some() {
+                requests_read.fetch_add(1, Ordering::SeqCst);
             }
         }
     }
@@ -123,26 +123,26 @@
     vec![service("video", Effect::Idempotent), service("confirm", Effect::NonIdempotent)]
 }
 
-fn get(service: usize, budget: u64) -> Get {
+fn get(service: usize, budget_ms: u64) -> Get {
     Get {
         service,
-        budget: ms(budget),
+        budget: ms(budget_ms),
         object: 7,
-        part: 0,
+        chunk: 0,
         group: 1,
-        held: Default::default(),
+        held_version: Default::default(),
         body: vec![b'x'; 40].into(),
     }
 }
 
-/// Asks and turns until the outcome.
+/// Makes a call and runs the client until its outcome.
 fn outcome(client: &mut Client, get: Get) -> (Outcome, Duration) {
-    let began = Instant::now();
+    let started = Instant::now();
     let ticket = client.ask(get);
     loop {
-        if let Some((told, outcome)) = client.next_outcome() {
-            assert_eq!(told, ticket);
-            return (outcome, began.elapsed());
+        if let Some((outcome_ticket, outcome)) = client.next_outcome() {
+            assert_eq!(outcome_ticket, ticket);
+            return (outcome, started.elapsed());
         }
         client.turn(ms(5)).unwrap();
     }
@@ -153,34 +153,37 @@
 }
 
 #[test]
-fn a_connection_dropped_at_every_byte_never_makes_an_effect_happen_twice() {
-    // Until the whole request was read, and beyond it at every byte of the answer.
-    let long = answer([0, 1], FINE).len();
-    let mut told = std::collections::BTreeMap::<String, u32>::new();
-    let cuts = (0..300).step_by(5).map(Plays::ReadsThenDrops).chain((0..=long).map(Plays::AnswersThenDrops));
+fn a_connection_closed_at_any_byte_never_makes_an_effect_happen_twice() {
+    // The cuts cover the request in steps of 5 bytes and then every byte of the answer.
+    let answer_size = answer([0, 1], OK_RESPONSE).len();
+    let mut outcome_counts = std::collections::BTreeMap::<String, u32>::new();
+    let cuts = (0..300)
+        .step_by(5)
+        .map(Behaviour::ReadThenClose)
+        .chain((0..=answer_size).map(Behaviour::AnswerThenClose));
     for cut in cuts {
-        let last = matches!(cut, Plays::AnswersThenDrops(bytes) if bytes == long);
-        let scripted = Scripted::start(vec![cut, Plays::Answers(FINE.into())]);
-        let mut client = Client::new(services(), vec![scripted.place(0)], 3).unwrap();
+        let is_answer_complete = matches!(cut, Behaviour::AnswerThenClose(bytes) if bytes == answer_size);
+        let dispatcher = ScriptedDispatcher::start(vec![cut, Behaviour::Answer(OK_RESPONSE.into())]);
+        let mut client = Client::new(services(), vec![dispatcher.endpoint(0)], 3).unwrap();
         let (outcome, _) = outcome(&mut client, get(1, 150));
-        let whole = scripted.whole.load(Ordering::SeqCst);
-        assert!(whole <= 1, "{whole} times");
-        assert!(!last || outcome == returned(), "{outcome:?}");
-        // It is returned only if it ran, and may have run whenever the bytes had left.
-        assert!(outcome != returned() || whole == 1);
-        *told.entry(format!("{outcome:?}").chars().take(12).collect()).or_default() += 1;
+        let run_count = dispatcher.requests_read.load(Ordering::SeqCst);
+        assert!(run_count <= 1, "{run_count} runs");
+        assert!(!is_answer_complete || outcome == returned(), "{outcome:?}");
+        // The call is returned only if it ran; it may have run whenever all bytes were sent.
+        assert!(outcome != returned() || run_count == 1);
+        *outcome_counts.entry(format!("{outcome:?}").chars().take(12).collect()).or_default() += 1;
     }
-    assert!(told.contains_key("MayHaveRun"), "{told:?}");
+    assert!(outcome_counts.contains_key("MayHaveRun"), "{outcome_counts:?}");
 }
 
 #[test]
-fn an_idempotent_get_goes_again_and_what_can_not_be_read_is_never_passed_on() {
-    let spoilt: [&[u8]; 4] =
+fn an_idempotent_get_is_retried_and_a_malformed_answer_is_never_returned() {
+    let malformed: [&[u8]; 4] =
         [b"no head at all", b"Status: abc\r\n\r\n", b"Status 200\r\n\r\n", b"Status: 500\r\n\r\nbytes"];
-    for text in spoilt {
-        let bad = Scripted::start(vec![Plays::Answers(text.to_vec())]);
-        let good = Scripted::start(vec![Plays::Answers(FINE.into())]);
-        let mut client = Client::new(services(), vec![bad.place(0), good.place(1)], 5).unwrap();
+    for text in malformed {
+        let bad = ScriptedDispatcher::start(vec![Behaviour::Answer(text.to_vec())]);
+        let good = ScriptedDispatcher::start(vec![Behaviour::Answer(OK_RESPONSE.into())]);
+        let mut client = Client::new(services(), vec![bad.endpoint(0), good.endpoint(1)], 5).unwrap();
         for _ in 0..4 {
             let (outcome, _) = outcome(&mut client, get(0, 1500));
             assert_eq!(outcome, returned(), "{}", String::from_utf8_lossy(text));
@@ -190,88 +193,93 @@
 }
 
 #[test]
-fn one_that_accepts_and_says_nothing_is_left_within_the_budget() {
-    let (mute, good) =
-        (Scripted::start(vec![Plays::Silent]), Scripted::start(vec![Plays::Answers(FINE.into())]));
-    let mut client = Client::new(services(), vec![mute.place(0), good.place(0)], 5).unwrap();
-    let (told, took) = outcome(&mut client, get(0, 1500));
-    assert_eq!(told, returned());
-    assert!(took < ms(1000), "{took:?}");
-    // Alone it costs the budget, and no more; an effect may have happened.
-    let mut client = Client::new(services(), vec![mute.place(0)], 5).unwrap();
-    let (told, took) = outcome(&mut client, get(1, 400));
-    assert_eq!(told, Outcome::MayHaveRun);
-    assert!(took < ms(500), "{took:?}");
+fn a_call_leaves_a_silent_dispatcher_within_its_budget() {
+    let (silent, good) = (
+        ScriptedDispatcher::start(vec![Behaviour::Silent]),
+        ScriptedDispatcher::start(vec![Behaviour::Answer(OK_RESPONSE.into())]),
+    );
+    let mut client = Client::new(services(), vec![silent.endpoint(0), good.endpoint(0)], 5).unwrap();
+    let (result, elapsed) = outcome(&mut client, get(0, 1500));
+    assert_eq!(result, returned());
+    assert!(elapsed < ms(1000), "{elapsed:?}");
+    // Without another dispatcher the call takes its budget and no longer, and its effect may have happened.
+    let mut client = Client::new(services(), vec![silent.endpoint(0)], 5).unwrap();
+    let (result, elapsed) = outcome(&mut client, get(1, 400));
+    assert_eq!(result, Outcome::MayHaveRun);
+    assert!(elapsed < ms(500), "{elapsed:?}");
 }
 
 #[test]
-fn one_that_refuses_everybody_is_left_alone_as_long_as_it_says() {
+fn a_dispatcher_that_refuses_all_calls_gets_none_during_the_requested_pause() {
     let text = b"Status: 503\r\nBack-Off-Ms: 400\r\n\r\n".to_vec();
-    let busy = Scripted::start(vec![Plays::Answers(text)]);
-    let mut client = Client::new(services(), vec![busy.place(0)], 5).unwrap();
-    let began = Instant::now();
+    let busy = ScriptedDispatcher::start(vec![Behaviour::Answer(text)]);
+    let mut client = Client::new(services(), vec![busy.endpoint(0)], 5).unwrap();
+    let started = Instant::now();
     let mut shed = 0;
-    while began.elapsed() < ms(1000) {
-        let (told, took) = outcome(&mut client, get(0, 300));
-        let Outcome::Shed { retry_after, .. } = told else { panic!("{told:?}") };
-        assert!(retry_after >= ms(20) && took < ms(100));
+    while started.elapsed() < ms(1000) {
+        let (result, elapsed) = outcome(&mut client, get(0, 300));
+        let Outcome::Shed { retry_after, .. } = result else { panic!("{result:?}") };
+        assert!(retry_after >= ms(20) && elapsed < ms(100));
         shed += 1;
         std::thread::sleep(ms(10));
     }
-    let asked = busy.whole.load(Ordering::SeqCst);
-    assert!(shed > 30 && asked <= 4, "{shed} shed, {asked} asked");
+    let requests_read = busy.requests_read.load(Ordering::SeqCst);
+    assert!(shed > 30 && requests_read <= 4, "{shed} shed, {requests_read} requests");
 }
 
 #[test]
-fn a_connection_that_dies_with_many_requests_ends_each_by_the_table() {
-    let dies = Scripted::start(vec![Plays::ReadsThenDrops(4000), Plays::Answers(FINE.into())]);
-    let mut client = Client::new(services(), vec![dies.place(0)], 9).unwrap();
-    let tickets: Vec<_> = (0..32).map(|n| client.ask(get(n % 2, 1500))).collect();
-    let mut told = std::collections::BTreeMap::new();
-    let until = Instant::now() + ms(2500);
-    while told.len() < tickets.len() && Instant::now() < until {
+fn a_lost_connection_with_many_requests_ends_each_by_its_effect() {
+    let failing = ScriptedDispatcher::start(vec![
+        Behaviour::ReadThenClose(4000),
+        Behaviour::Answer(OK_RESPONSE.into()),
+    ]);
+    let mut client = Client::new(services(), vec![failing.endpoint(0)], 9).unwrap();
+    let tickets: Vec<_> = (0..32).map(|index| client.ask(get(index % 2, 1500))).collect();
+    let mut outcomes = std::collections::BTreeMap::new();
+    let deadline = Instant::now() + ms(2500);
+    while outcomes.len() < tickets.len() && Instant::now() < deadline {
         client.turn(ms(5)).unwrap();
         while let Some((ticket, outcome)) = client.next_outcome() {
-            assert!(told.insert(ticket, outcome).is_none(), "two outcomes");
+            assert!(outcomes.insert(ticket, outcome).is_none(), "two outcomes");
         }
     }
-    assert_eq!(told.len(), 32);
-    for (n, ticket) in tickets.iter().enumerate() {
-        let fits = match &told[ticket] {
-            Outcome::MayHaveRun => n % 2 == 1,
+    assert_eq!(outcomes.len(), 32);
+    for (index, ticket) in tickets.iter().enumerate() {
+        let is_allowed = match &outcomes[ticket] {
+            Outcome::MayHaveRun => index % 2 == 1,
             Outcome::Returned(_) | Outcome::Shed { .. } | Outcome::OutOfTime => true,
             Outcome::Errored => false,
         };
-        assert!(fits, "{n}: {:?}", told[ticket]);
+        assert!(is_allowed, "{index}: {:?}", outcomes[ticket]);
     }
-    assert_eq!(client.in_hand(), 0);
+    assert_eq!(client.in_flight(), 0);
 }
 
 #[test]
-fn a_refusal_that_crosses_an_abort_ends_nothing_else() {
-    let late = Scripted::start(vec![Plays::RefusesLate]);
-    let mut client = Client::new(services(), vec![late.place(0)], 4).unwrap();
+fn a_refusal_that_arrives_after_an_abort_affects_no_other_call() {
+    let late = ScriptedDispatcher::start(vec![Behaviour::RefuseLate]);
+    let mut client = Client::new(services(), vec![late.endpoint(0)], 4).unwrap();
     let ticket = client.ask(get(1, 1500));
-    let began = Instant::now();
-    while began.elapsed() < ms(30) {
+    let started = Instant::now();
+    while started.elapsed() < ms(30) {
         client.turn(ms(5)).unwrap();
     }
     client.abandon(ticket);
-    while began.elapsed() < ms(150) {
+    while started.elapsed() < ms(150) {
         client.turn(ms(5)).unwrap();
     }
-    // It was called off: the refusal is nobody's, and the connection lives.
+    // The call was aborted: the refusal belongs to no call, and the connection stays open.
     assert_eq!(client.next_outcome(), None);
     assert_eq!(outcome(&mut client, get(1, 1500)).0, returned());
 }
 
 #[test]
-fn a_dropped_call_is_called_off_and_its_late_answer_harms_nothing() {
-    let good = Scripted::start(vec![Plays::Answers(FINE.into())]);
-    let handle = Handle::start(services(), vec![good.place(0)], 4).unwrap();
+fn a_dropped_call_is_aborted_and_its_late_answer_does_no_harm() {
+    let good = ScriptedDispatcher::start(vec![Behaviour::Answer(OK_RESPONSE.into())]);
+    let handle = Handle::start(services(), vec![good.endpoint(0)], 4).unwrap();
     for _ in 0..20 {
         drop(handle.ask(get(0, 1000)));
         assert_eq!(handle.get(get(0, 1000)), returned());
     }
-    assert!(good.plays.lock().unwrap().len() == 1);
+    assert!(good.behaviours.lock().unwrap().len() == 1);
 }
--- a/crates/lab/src/client/crowd.rs
+++ b/crates/lab/src/client/crowd.rs
@@ -2,8 +2,10 @@
 //! the same schedule against the same dispatcher. The dispatcher has a pace and sheds what would wait too long; it
 //! can be down. No sockets: sizes that they don't reach, the same figures each time.
 
-use myrtlegauge_client::decide::{Answered, CallId, Carry, Core, Ended, LinkId, Mark};
-use myrtlegauge_client::{Effect, Place, Reached, Resend, Service};
+use myrtlegauge_client::decide::{
+    ActionSink, AttemptId, CallId, CallOutcome, ConnectionId, Core, DispatcherAnswer,
+};
+use myrtlegauge_client::{Dispatcher, Effect, Reached, Resend, Service};
 use serde_json::{Value, json};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -28,11 +30,11 @@
     /// A caller asks.
     Asks(usize),
     /// A connection comes up, or is refused.
-    Arrives(usize, LinkId),
+    Arrives(usize, ConnectionId),
     /// A request is there.
-    Comes(usize, LinkId, u16),
+    Comes(usize, ConnectionId, u16),
     /// An answer is there: returned, or shed with a pause in milliseconds.
-    Answers(usize, LinkId, u16, Option<u32>),
+    Answers(usize, ConnectionId, u16, Option<u32>),
     /// Something of the client's own is due.
     Due(usize),
     /// The plain client's budget for a call is over.
@@ -60,25 +62,25 @@
     ahead: &'a mut Ahead,
     now: Duration,
     client: usize,
-    done: Vec<Ended>,
+    done: Vec<CallOutcome>,
     resends: u64,
     connects: Vec<Duration>,
 }
 
-impl Carry for Wants<'_> {
-    fn connect(&mut self, link: LinkId, _: usize) {
+impl ActionSink for Wants<'_> {
+    fn connect(&mut self, link: ConnectionId, _: usize) {
         self.connects.push(self.now);
         self.ahead.put(self.now + WAY * 2, Happens::Arrives(self.client, link));
     }
-    fn send(&mut self, link: LinkId, number: u16, _: CallId, _: Mark, _: Duration) {
+    fn send(&mut self, link: ConnectionId, number: u16, _: CallId, _: AttemptId, _: Duration) {
         self.ahead.put(self.now + WAY, Happens::Comes(self.client, link, number));
     }
-    fn abort(&mut self, _: LinkId, _: u16) {}
-    fn close(&mut self, _: LinkId) {}
-    fn done(&mut self, _: CallId, end: Ended) {
+    fn abort(&mut self, _: ConnectionId, _: u16) {}
+    fn close(&mut self, _: ConnectionId) {}
+    fn finish(&mut self, _: CallId, end: CallOutcome) {
         self.done.push(end);
     }
-    fn resent(&mut self, _: &Resend) {
+    fn record_resend(&mut self, _: &Resend) {
         self.resends += 1;
     }
 }
@@ -91,7 +93,7 @@
 }
 
 enum Kind {
-    Library(Box<Core>, Vec<LinkId>),
+    Library(Box<Core>, Vec<ConnectionId>),
     Plain(BTreeMap<u64, PlainCall>),
 }
 
@@ -132,7 +134,7 @@
     let mut chance = fastrand::Rng::with_seed(plan.seed);
     let service = || vec![Service { name: "video".into(), effect: Effect::Idempotent }];
     let place = || {
-        vec![Place {
+        vec![Dispatcher {
             address: std::net::SocketAddr::from(([127, 0, 0, 1], 1)),
             group: 0,
             sharers: plan.clients as u32,
@@ -187,7 +189,7 @@
                     }
                     Kind::Library(..) => {
                         library(&mut clients, client, &mut ahead, now, &mut figures, step(now), |round| {
-                            round.take(0, BUDGET);
+                            round.on_call(0, BUDGET);
                         })
                     }
                 }
@@ -199,8 +201,10 @@
                     links.push(link);
                 }
                 library(&mut clients, client, &mut ahead, now, &mut figures, step(now), |round| match down {
-                    true => round.lost(link, myrtlegauge_client::End::Lost, |_| Reached::NotWhole),
-                    false => round.up(link),
+                    true => {
+                        round.on_connection_lost(link, myrtlegauge_client::End::Lost, |_| Reached::NotWhole)
+                    }
+                    false => round.on_connected(link),
                 });
             }
             Happens::Comes(client, link, number) => {
@@ -242,9 +246,11 @@
                     }
                 }
                 Kind::Library(..) => {
-                    let answer = shed.map_or(Answered::Returned, |pause| Answered::Shed(Some(pause.into())));
+                    let answer = shed.map_or(DispatcherAnswer::Returned, |pause| {
+                        DispatcherAnswer::Shed(Some(pause.into()))
+                    });
                     library(&mut clients, client, &mut ahead, now, &mut figures, step(now), |round| {
-                        round.answered(link, number, answer);
+                        round.on_answer(link, number, answer);
                     });
                 }
             },
@@ -262,7 +268,7 @@
 }
 
 fn plain_send(ahead: &mut Ahead, client: usize, call: u64, _: bool, now: Duration) {
-    ahead.put(now + WAY, Happens::Comes(client, (call >> 16) as LinkId, call as u16));
+    ahead.put(now + WAY, Happens::Comes(client, (call >> 16) as ConnectionId, call as u16));
 }
 
 fn library(
@@ -279,12 +285,12 @@
     core.round(now, &mut wants, said);
     for end in &wants.done {
         match end {
-            Ended::Returned => figures.returned[step] += 1,
+            CallOutcome::Returned => figures.returned[step] += 1,
             _ => figures.shed += 1,
         }
     }
     figures.connects[step] += wants.connects.len() as u64;
-    if let Some(due) = core.due() {
+    if let Some(due) = core.next_deadline() {
         let due = due.max(now + Duration::from_micros(100));
         wants.ahead.put(due, Happens::Due(client));
     }
@@ -301,7 +307,7 @@
     let Kind::Library(_, links) = &mut clients[client] else { return };
     for link in std::mem::take(links) {
         library(clients, client, ahead, now, figures, step, |round| {
-            round.lost(link, myrtlegauge_client::End::Lost, |_| Reached::Whole);
+            round.on_connection_lost(link, myrtlegauge_client::End::Lost, |_| Reached::Whole);
         });
     }
 }
@@ -328,21 +334,21 @@
 /// Takes what is to be done and does nothing of it.
 #[derive(Default)]
 struct Nothing {
-    sent: Vec<(LinkId, u16)>,
-    links: Vec<LinkId>,
+    sent: Vec<(ConnectionId, u16)>,
+    links: Vec<ConnectionId>,
 }
 
-impl Carry for Nothing {
-    fn connect(&mut self, link: LinkId, _: usize) {
+impl ActionSink for Nothing {
+    fn connect(&mut self, link: ConnectionId, _: usize) {
         self.links.push(link);
     }
-    fn send(&mut self, link: LinkId, number: u16, _: CallId, _: Mark, _: Duration) {
+    fn send(&mut self, link: ConnectionId, number: u16, _: CallId, _: AttemptId, _: Duration) {
         self.sent.push((link, number));
     }
-    fn abort(&mut self, _: LinkId, _: u16) {}
-    fn close(&mut self, _: LinkId) {}
-    fn done(&mut self, _: CallId, _: Ended) {}
-    fn resent(&mut self, _: &Resend) {}
+    fn abort(&mut self, _: ConnectionId, _: u16) {}
+    fn close(&mut self, _: ConnectionId) {}
+    fn finish(&mut self, _: CallId, _: CallOutcome) {}
+    fn record_resend(&mut self, _: &Resend) {}
 }
 
 /// What a call costs in the core, and what an idle client with one connection that is not up weighs.
@@ -350,18 +356,18 @@
     const CALLS: u32 = 1_000_000;
     let service = vec![Service { name: "video".into(), effect: Effect::Idempotent }];
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let places = vec![Place { address, group: 0, sharers: 1 }; 2];
+    let places = vec![Dispatcher { address, group: 0, sharers: 1 }; 2];
     let (mut core, mut out) = (Core::new(service.clone(), places.clone(), 1), Nothing::default());
     let began = std::time::Instant::now();
     let mut now = Duration::ZERO;
     for _ in 0..CALLS {
         now += Duration::from_micros(100);
-        core.round(now, &mut out, |round| round.take(0, BUDGET));
+        core.round(now, &mut out, |round| round.on_call(0, BUDGET));
         for link in std::mem::take(&mut out.links) {
-            core.round(now, &mut out, |round| round.up(link));
+            core.round(now, &mut out, |round| round.on_connected(link));
         }
         for (link, number) in std::mem::take(&mut out.sent) {
-            core.round(now, &mut out, |round| round.answered(link, number, Answered::Returned));
+            core.round(now, &mut out, |round| round.on_answer(link, number, DispatcherAnswer::Returned));
         }
     }
     let each = began.elapsed().as_nanos() as u64 / u64::from(CALLS);
--- a/crates/lab/src/client/mod.rs
+++ b/crates/lab/src/client/mod.rs
@@ -13,7 +13,7 @@
 use crate::stand::process::Dispatcher;
 use crate::stand::{self, line, process, watch};
 use bad::Bad;
-use myrtlegauge_client::{Client, Effect, Get, Outcome, Place, Resend, Service, Shed};
+use myrtlegauge_client::{Client, Dispatcher as Endpoint, Effect, Get, Outcome, Resend, Service, ShedReason};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
@@ -95,11 +95,11 @@
 fn named(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Returned(_) => "returned",
-        Outcome::Shed { why: Shed::ByDispatcher, .. } => "shed by a dispatcher",
-        Outcome::Shed { why: Shed::BackingOff, .. } => "shed here, all asked to be left alone",
-        Outcome::Shed { why: Shed::RetriesSpent, .. } => "shed here, retries spent",
-        Outcome::Shed { why: Shed::NoDispatcher, .. } => "shed here, no dispatcher",
-        Outcome::Shed { why: Shed::Full, .. } => "shed here, full",
+        Outcome::Shed { reason: ShedReason::ByDispatcher, .. } => "shed by a dispatcher",
+        Outcome::Shed { reason: ShedReason::BackingOff, .. } => "shed here, all asked to be left alone",
+        Outcome::Shed { reason: ShedReason::RetriesSpent, .. } => "shed here, retries spent",
+        Outcome::Shed { reason: ShedReason::NoDispatcher, .. } => "shed here, no dispatcher",
+        Outcome::Shed { reason: ShedReason::Full, .. } => "shed here, full",
         Outcome::Errored => "errored",
         Outcome::MayHaveRun => "may have run",
         Outcome::OutOfTime => "out of time",
@@ -109,7 +109,7 @@
 /// One client on a thread of its own, asking at its pace until told to stop.
 fn client(
     index: usize,
-    places: Vec<Place>,
+    places: Vec<Endpoint>,
     plan: (u64, f64, Option<Without>),
     stop: &AtomicBool,
     found: &Mutex<Found>,
@@ -135,9 +135,9 @@
                 service,
                 budget,
                 object,
-                part: 0,
+                chunk: 0,
                 group: (object % 64) as u32,
-                held: Default::default(),
+                held_version: Default::default(),
                 body: Default::default(),
             };
             found.lock().expect("no holder panics").asked += 1;
@@ -224,7 +224,7 @@
                 way.loses.store(FORCED, Ordering::Relaxed);
             }
             let sharers = clients as u32;
-            places.push(Place { address: way.address, group: group as u64, sharers });
+            places.push(Endpoint { address: way.address, group: group as u64, sharers });
             ways.push(way);
         }
         let (stop, found, plan) =
@@ -291,7 +291,7 @@
     found.breaks.extend(breaks);
     // Every marked try that passed is in the library's record, with its number.
     let recorded: BTreeSet<(u64, u32)> =
-        found.resends.iter().map(|resend| (resend.first, resend.number)).collect();
+        found.resends.iter().map(|resend| (resend.first_id, resend.attempt)).collect();
     let mut last = BTreeMap::<u64, (usize, Instant, Instant)>::new();
     for (at, way) in ways.iter().enumerate() {
         let passed = way.passed();
