--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -27,7 +27,7 @@
     Json,
 }
 
-impl From<LogForm> for logs::Form {
+impl From<LogForm> for logs::LogFormat {
     fn from(form: LogForm) -> Self {
         match form {
             LogForm::Text => Self::Text,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -23,7 +23,7 @@
     match Arguments::parse().command {
         Command::Control { file, log_form } => {
             let Ok(told) = read(&file) else { return ExitCode::from(UNUSABLE) };
-            operator::logs::start(log_form.map_or(told.log_form, Into::into), told.log_level);
+            operator::logs::start(log_form.map_or(told.log_format, Into::into), told.log_level);
             ended(myrtlegauge_control::service::run(file, &told))
         }
         Command::Status { address, patience_ms } => {
@@ -32,7 +32,7 @@
         }
         Command::Dispatch { file, log_form } => {
             let Ok(told) = read(&file) else { return ExitCode::from(UNUSABLE) };
-            operator::logs::start(log_form.map_or(told.log_form, Into::into), told.log_level);
+            operator::logs::start(log_form.map_or(told.log_format, Into::into), told.log_level);
             ended(myrtlegauge_follow::run(file, &told))
         }
         Command::Replica { order: Some(ReplicaOrder::Status { address, patience_ms }), .. } => {
@@ -77,7 +77,7 @@
 /// Runs a replica until it is told to end.
 fn replica(file: Option<&Path>, log_form: Option<LogForm>) -> ExitCode {
     let Some(Ok(told)) = file.map(read) else { return ExitCode::from(UNUSABLE) };
-    operator::logs::start(log_form.map_or(told.log_form, Into::into), told.log_level);
+    operator::logs::start(log_form.map_or(told.log_format, Into::into), told.log_level);
     ended(myrtlegauge_replica::run(&told))
 }
 
@@ -105,7 +105,7 @@
         None => ("the built-in experiment".to_owned(), Ok(model::experiment::BUILT_IN.to_owned())),
     };
     let read = text.and_then(|text| {
-        let lines = |faults: Vec<operator::Fault>| {
+        let lines = |faults: Vec<operator::FileError>| {
             faults.iter().map(|fault| format!("{name}:{fault}")).collect::<Vec<_>>().join("\n")
         };
         model::experiment::read(&text).map_err(lines)
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -477,7 +477,7 @@
                 zone: Cow::Borrowed(&host.zone),
                 kind: Cow::Borrowed(&host.kind),
                 group: Some(host.cell),
-                status: Cow::Borrowed(if host.draining { "leaving" } else { "active" }),
+                status: Cow::Borrowed(if host.is_draining { "leaving" } else { "active" }),
                 weight: Some(host.weight),
                 since_ms: Some(host.started_unix_ms),
             })
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -12,7 +12,7 @@
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::status::v3::ClientStatusResponse;
 use myrtlegauge_operator::OperatorFile;
-use myrtlegauge_operator::file::Control;
+use myrtlegauge_operator::file::ControlSettings;
 use myrtlegauge_wire::change_log_client::{ChangeLogClient, SequenceCheck};
 use myrtlegauge_wire::clock::Clock;
 use myrtlegauge_wire::protocol::StreamError;
@@ -124,7 +124,7 @@
     });
     watched.map_err(|e| format!("signals can't be watched: {e}"))?;
     let mut service = Service::new(turns.handle(), file, control)?;
-    grpc::serve(listener, hears, control.reports_every)?;
+    grpc::serve(listener, hears, control.report_interval)?;
     log::info!(address:%; "{} gives decisions", service.name);
     while !service.done {
         turns.dispatch(service.patience(), &mut service).map_err(|e| format!("the event loop: {e}"))?;
@@ -135,16 +135,20 @@
 }
 
 impl Service {
-    fn new(hub: LoopHandle<'static, Self>, file: &OperatorFile, control: &Control) -> Result<Self, String> {
+    fn new(
+        hub: LoopHandle<'static, Self>,
+        file: &OperatorFile,
+        control: &ControlSettings,
+    ) -> Result<Self, String> {
         let clock = Clock::start();
         let now = clock.now();
         let lease = Lease::of(control.drain_grace, control.purge_grace, control.clock_error);
         let mut service = Self {
             name: control.name.clone(),
-            fleet: Fleet::new(&file.facts, fastrand::u64(..), clock)?,
-            exchange: Exchange::new(lease, control.most_proxies),
-            reports: Reports::new(control.reports_every, now),
-            zones: Zoning::of(file, control.reports_every, now),
+            fleet: Fleet::new(&file.decision_settings, fastrand::u64(..), clock)?,
+            exchange: Exchange::new(lease, control.max_proxies),
+            reports: Reports::new(control.report_interval, now),
+            zones: Zoning::of(file, control.report_interval, now),
             feed: control.change_log.map(|address| ChangeLogClient::new(address, ChangeLog).with_overlap()),
             feed_stirred: false,
             last_event: (0, 0),
@@ -174,7 +178,7 @@
     fn reread(&mut self, path: &std::path::Path) {
         let told = std::fs::read_to_string(path).map_err(|e| e.to_string());
         let told = told.and_then(|text| {
-            let all = |faults: Vec<myrtlegauge_operator::Fault>| {
+            let all = |faults: Vec<myrtlegauge_operator::FileError>| {
                 faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
             };
             myrtlegauge_operator::read(&text).map_err(all)
--- a/crates/control/src/zoning.rs
+++ b/crates/control/src/zoning.rs
@@ -31,18 +31,19 @@
     /// Where the file asks for it.
     pub fn of(file: &OperatorFile, reports_every: Duration, now: Duration) -> Option<Self> {
         let told = file.control.as_ref()?.zones?;
-        let zones: Vec<_> = file.zones.iter().map(|zone| (zone.name.clone(), zone.bears)).collect();
-        let start = |name: &str| file.facts.get("obligations").and_then(|o| o.get(name)?.as_f64());
+        let zones: Vec<_> = file.zones.iter().map(|zone| (zone.name.clone(), zone.capacity_per_s)).collect();
+        let start =
+            |name: &str| file.decision_settings.get("obligations").and_then(|o| o.get(name)?.as_f64());
         let terms = Terms {
             quorum: told.quorum,
-            least_voters: told.least_voters,
+            least_voters: told.min_voters,
             reports_every,
             hold: told.hold,
-            tries: told.tries,
+            tries: told.max_return_attempts,
             cold_share: start("start_capacity").unwrap_or(1.0),
             warm_within: Duration::from_secs_f64(start("warm_within_ms").unwrap_or(0.0) / 1e3),
         };
-        let numbers = file.zones.iter().map(|zone| zone.number).collect();
+        let numbers = file.zones.iter().map(|zone| zone.index).collect();
         Some(Self { core: Fleet::new(terms, &zones, now), numbers })
     }
 
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -57,7 +57,7 @@
         let file = myrtlegauge_operator::read(&text).expect("the example has no fault");
         let clock = Clock::start();
         let now = clock.now();
-        let fleet = Fleet::new(&file.facts, 7, clock).unwrap();
+        let fleet = Fleet::new(&file.decision_settings, 7, clock).unwrap();
         let mut world = Self { fleet, exchange: Exchange::new(lease, 64), now };
         let mut lines: Vec<_> = (0..caches).map(|n| line(&format!("cache-{n}"), "active", 0)).collect();
         lines.extend((0..parents).map(|n| line(&format!("parent-{}", 1000 + n), "active", 0)));
--- a/crates/control/tests/decisions.rs
+++ b/crates/control/tests/decisions.rs
@@ -37,7 +37,7 @@
 impl Twin {
     fn of(world: &World) -> Self {
         let text = common::EXAMPLE.replace("(falls-at 2))", "(falls-at 2) (falls-in 1h))");
-        let facts = myrtlegauge_operator::read(&text).unwrap().facts;
+        let facts = myrtlegauge_operator::read(&text).unwrap().decision_settings;
         let mut twin = Self { router: Router::new(&facts, 1).unwrap(), now: world.now };
         twin.follow(world);
         twin
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -29,7 +29,7 @@
     // Before any thread is started: each takes over which signals are kept for the loop.
     let signals = program::signals()?;
     let told = file.dispatcher.as_ref().ok_or("the file tells of no dispatcher")?;
-    let zones = if told.follow.is_empty() {
+    let zones = if told.control_services.is_empty() {
         None
     } else {
         let (says, updates) = calloop::channel::channel();
@@ -37,25 +37,25 @@
             name: told.name.clone(),
             zones: file.zones.iter().map(|zone| zone.name.clone()).collect(),
             services: file.services.clone(),
-            to: told.follow.clone(),
+            to: told.control_services.clone(),
         };
         let reports = stream::start(following, says)?;
         let report = Box::new(move |report| drop(reports.send(std::sync::Arc::new(report))));
-        Some(ZoneChannel { updates, report, report_interval: told.reports_every })
+        Some(ZoneChannel { updates, report, report_interval: told.report_interval })
     };
     let member = told.peers.as_ref().map(|peers| driver::Startup {
         name: told.name.clone(),
         fleet: peers.fleet.clone(),
         listen: peers.listen,
-        reached_at: peers.reached_at,
+        reached_at: peers.advertised_address,
         peers: peers.peers.clone(),
-        told: peers.told,
+        told: peers.origin_sharers,
     });
     let replicas = told.replicas.map(|replicas| ReplicasStartup {
         name: told.name.clone(),
         primary: replicas.primary,
         fallback: replicas.fallback,
-        doubt_after: replicas.doubt_after,
+        doubt_after: replicas.purges_unknown_after,
         seed: fastrand::u64(..),
         defences,
     });
@@ -63,9 +63,12 @@
         listen: told.listen,
         change_log: told.change_log,
         known_changes: Changes { last_seq: 0, results: Vec::new() },
-        settings: &file.facts,
+        settings: &file.decision_settings,
         seed: fastrand::u64(..),
-        resource_limits: ResourceLimits { descriptors: told.sockets, memory_bytes: told.memory_mb << 20 },
+        resource_limits: ResourceLimits {
+            descriptors: told.max_descriptors,
+            memory_bytes: told.memory_mb << 20,
+        },
         guards: Guards::ALL,
         zones,
         member,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -105,7 +105,7 @@
 fn told(file: &Path) -> Result<myrtlegauge_operator::OperatorFile, String> {
     let text = std::fs::read_to_string(file).map_err(|e| e.to_string())?;
     let told = myrtlegauge_operator::read(&text).map_err(|faults| format!("{faults:?}"))?;
-    myrtlegauge_operator::logs::start(told.log_form, told.log_level);
+    myrtlegauge_operator::logs::start(told.log_format, told.log_level);
     Ok(told)
 }
 
--- a/crates/lab/src/stand/process.rs
+++ b/crates/lab/src/stand/process.rs
@@ -105,7 +105,7 @@
 /// The settings of an operator file, with connections as the platform has them.
 pub fn settings(text: &str) -> Result<Value, String> {
     let told = myrtlegauge_operator::read(text).map_err(|faults| format!("{faults:?}"))?;
-    let mut settings = Value::Object(told.facts);
+    let mut settings = Value::Object(told.decision_settings);
     for (name, value) in
         [("streams_per_conn", 100.0), ("connect_timeout_ms", 400.0), ("conn_idle_ms", 15_000.0)]
     {
--- a/crates/model/src/experiment.rs
+++ b/crates/model/src/experiment.rs
@@ -3,8 +3,8 @@
 
 use crate::engine::{Figures, play};
 use crate::world::{Fault, FaultKind, Policy, Service, World};
-use myrtlegauge_operator::Fault as Mistake;
-use myrtlegauge_operator::form::{self, Checked, Field, Form, Kind, Often};
+use myrtlegauge_operator::FileError;
+use myrtlegauge_operator::form::{self, CheckedForm, Field, Form, Kind, Occurrence};
 use myrtlegauge_operator::tree;
 use rayon::prelude::*;
 use serde_json::{Value, json};
@@ -12,88 +12,138 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-const fn field(name: &'static str, kind: Kind, often: Often, about: &'static str) -> Field {
-    Field { name, kind, often, about }
+const fn field(name: &'static str, kind: Kind, occurrence: Occurrence, about: &'static str) -> Field {
+    Field { name, kind, occurrence, about }
 }
 
 /// All that an experiment file may hold.
 pub static FILE: Form = Form {
-    titled: false,
+    has_title: false,
     fields: &[
-        field("world", Kind::Form(&WORLD), Often::Once, "sizes and paces of what is modelled"),
+        field("world", Kind::Form(&WORLD), Occurrence::Once, "sizes and paces of what is modelled"),
         field(
             "service",
             Kind::Form(&SERVICE),
-            Often::AtLeastOnce,
+            Occurrence::AtLeastOnce,
             "a delivery service and how it is asked for",
         ),
-        field("fault", Kind::Form(&FAULT), Often::Any, "what goes wrong, and when"),
+        field("fault", Kind::Form(&FAULT), Occurrence::Any, "what goes wrong, and when"),
         field(
             "brain",
             Kind::OneOf(&["module", "hashing", "random", "informed"]),
-            Often::AtLeastOnce,
+            Occurrence::AtLeastOnce,
             "who decides; all are compared",
         ),
-        field("seeds", Kind::Count, Often::Maybe("4"), "runs of each, with the same draws for each policy"),
+        field(
+            "seeds",
+            Kind::Count,
+            Occurrence::Optional("4"),
+            "runs of each, with the same draws for each policy",
+        ),
     ],
 };
 
 static WORLD: Form = Form {
-    titled: false,
+    has_title: false,
     fields: &[
-        field("locations", Kind::Count, Often::Maybe("2"), "places with caches and dispatchers of their own"),
-        field("caches", Kind::Count, Often::Maybe("6"), "of each location"),
-        field("dispatchers", Kind::Count, Often::Maybe("2"), "of each location"),
-        field("parents", Kind::Count, Often::Maybe("3"), "of the hub"),
-        field("rate", Kind::Rate, Often::Maybe("200/s"), "GETs of each location"),
-        field("slots", Kind::Count, Often::Maybe("8"), "transfers that a cache serves at full pace"),
-        field("pace", Kind::Pace, Often::Maybe("10MB/s"), "one transfer"),
-        field("store", Kind::Count, Often::Maybe("60000"), "kilobytes that a cache holds"),
-        field("parent-store", Kind::Count, Often::Maybe("400000"), "kilobytes that a parent holds"),
-        field("origin-slots", Kind::Count, Often::Maybe("40"), "fills at once that the origin serves"),
-        field("origin-wait", Kind::Span, Often::Maybe("60ms"), "of each"),
-        field("way", Kind::Span, Often::Maybe("1ms"), "dispatcher to cache, one way"),
-        field("hub-way", Kind::Span, Often::Maybe("10ms"), "cache to hub, one way"),
-        field("drain-grace", Kind::Span, Often::Maybe("250ms"), "after a drain, nothing new is sent there"),
-        field("purge-grace", Kind::Span, Often::Maybe("1s"), "after a purge, no older copy is answered"),
-        field("cold-share", Kind::Share, Often::Maybe("22%"), "of its work that a cold cache bears"),
-        field("warm-within", Kind::Span, Often::Maybe("17s"), "until it bears all"),
-        field("long", Kind::Span, Often::Maybe("60s"), "how long is played"),
+        field(
+            "locations",
+            Kind::Count,
+            Occurrence::Optional("2"),
+            "places with caches and dispatchers of their own",
+        ),
+        field("caches", Kind::Count, Occurrence::Optional("6"), "of each location"),
+        field("dispatchers", Kind::Count, Occurrence::Optional("2"), "of each location"),
+        field("parents", Kind::Count, Occurrence::Optional("3"), "of the hub"),
+        field("rate", Kind::Rate, Occurrence::Optional("200/s"), "GETs of each location"),
+        field("slots", Kind::Count, Occurrence::Optional("8"), "transfers that a cache serves at full pace"),
+        field("pace", Kind::TransferRate, Occurrence::Optional("10MB/s"), "one transfer"),
+        field("store", Kind::Count, Occurrence::Optional("60000"), "kilobytes that a cache holds"),
+        field("parent-store", Kind::Count, Occurrence::Optional("400000"), "kilobytes that a parent holds"),
+        field(
+            "origin-slots",
+            Kind::Count,
+            Occurrence::Optional("40"),
+            "fills at once that the origin serves",
+        ),
+        field("origin-wait", Kind::Duration, Occurrence::Optional("60ms"), "of each"),
+        field("way", Kind::Duration, Occurrence::Optional("1ms"), "dispatcher to cache, one way"),
+        field("hub-way", Kind::Duration, Occurrence::Optional("10ms"), "cache to hub, one way"),
+        field(
+            "drain-grace",
+            Kind::Duration,
+            Occurrence::Optional("250ms"),
+            "after a drain, nothing new is sent there",
+        ),
+        field(
+            "purge-grace",
+            Kind::Duration,
+            Occurrence::Optional("1s"),
+            "after a purge, no older copy is answered",
+        ),
+        field(
+            "cold-share",
+            Kind::Fraction,
+            Occurrence::Optional("22%"),
+            "of its work that a cold cache bears",
+        ),
+        field("warm-within", Kind::Duration, Occurrence::Optional("17s"), "until it bears all"),
+        field("long", Kind::Duration, Occurrence::Optional("60s"), "how long is played"),
     ],
 };
 
 static SERVICE: Form = Form {
-    titled: true,
+    has_title: true,
     fields: &[
-        field("objective", Kind::Span, Often::Once, "latency objective, beside the time of sending it"),
-        field("timeout", Kind::Span, Often::Maybe("1.5s"), "how long its client waits"),
-        field("fresh", Kind::Span, Often::Maybe("until purged"), "how long a copy is fresh"),
-        field("grace", Kind::Span, Often::Maybe("none"), "how much longer it may do"),
-        field("non-idempotent", Kind::Flag, Often::Maybe("no"), "a second run does harm"),
-        field("share", Kind::Share, Often::Once, "of all GETs"),
-        field("size", Kind::Number, Often::Maybe("40"), "mean kilobytes"),
-        field("objects", Kind::Count, Often::Maybe("5000"), "how many there are"),
+        field(
+            "objective",
+            Kind::Duration,
+            Occurrence::Once,
+            "latency objective, beside the time of sending it",
+        ),
+        field("timeout", Kind::Duration, Occurrence::Optional("1.5s"), "how long its client waits"),
+        field("fresh", Kind::Duration, Occurrence::Optional("until purged"), "how long a copy is fresh"),
+        field("grace", Kind::Duration, Occurrence::Optional("none"), "how much longer it may do"),
+        field("non-idempotent", Kind::Flag, Occurrence::Optional("no"), "a second run does harm"),
+        field("share", Kind::Fraction, Occurrence::Once, "of all GETs"),
+        field("size", Kind::Number, Occurrence::Optional("40"), "mean kilobytes"),
+        field("objects", Kind::Count, Occurrence::Optional("5000"), "how many there are"),
     ],
 };
 
 static FAULT: Form = Form {
-    titled: false,
+    has_title: false,
     fields: &[
-        field("at", Kind::Span, Often::Once, "after the start"),
-        field("for", Kind::Span, Often::Maybe("10s"), "how long; what died comes back cold"),
-        field("caches-die", Kind::Count, Often::Maybe("none"), "so many, drawn by the seed"),
-        field("caches-silent", Kind::Count, Often::Maybe("none"), "they say nothing more"),
-        field("caches-slow", Kind::Count, Often::Maybe("none"), "they take five times as long"),
-        field("caches-drain", Kind::Count, Often::Maybe("none"), "they drain, and are gone at the end"),
-        field("parents-die", Kind::Count, Often::Maybe("none"), "so many parents"),
-        field("dispatchers-die", Kind::Share, Often::Maybe("none"), "of each location, all at once"),
-        field("stores-lost", Kind::Share, Often::Maybe("none"), "of caches and parents, which live on"),
-        field("origin-slow", Kind::Flag, Often::Maybe("no"), "it takes ten times as long"),
-        field("purge-all", Kind::Flag, Often::Maybe("no"), "all groups of objects"),
+        field("at", Kind::Duration, Occurrence::Once, "after the start"),
+        field("for", Kind::Duration, Occurrence::Optional("10s"), "how long; what died comes back cold"),
+        field("caches-die", Kind::Count, Occurrence::Optional("none"), "so many, drawn by the seed"),
+        field("caches-silent", Kind::Count, Occurrence::Optional("none"), "they say nothing more"),
+        field("caches-slow", Kind::Count, Occurrence::Optional("none"), "they take five times as long"),
+        field(
+            "caches-drain",
+            Kind::Count,
+            Occurrence::Optional("none"),
+            "they drain, and are gone at the end",
+        ),
+        field("parents-die", Kind::Count, Occurrence::Optional("none"), "so many parents"),
+        field(
+            "dispatchers-die",
+            Kind::Fraction,
+            Occurrence::Optional("none"),
+            "of each location, all at once",
+        ),
+        field(
+            "stores-lost",
+            Kind::Fraction,
+            Occurrence::Optional("none"),
+            "of caches and parents, which live on",
+        ),
+        field("origin-slow", Kind::Flag, Occurrence::Optional("no"), "it takes ten times as long"),
+        field("purge-all", Kind::Flag, Occurrence::Optional("no"), "all groups of objects"),
         field(
             "burst",
-            Kind::Share,
-            Often::Maybe("no"),
+            Kind::Fraction,
+            Occurrence::Optional("no"),
             "what is asked more, as a part of it: 100% doubles it",
         ),
     ],
@@ -112,19 +162,19 @@
 ///
 /// # Errors
 /// All faults of the text.
-pub fn read(text: &str) -> Result<Experiment, Vec<Mistake>> {
+pub fn read(text: &str) -> Result<Experiment, Vec<FileError>> {
     let (trees, mut faults) = tree::read(text);
     let file = form::check(&FILE, &trees, &mut faults);
-    let none = Checked::default();
+    let none = CheckedForm::default();
     let told = file.forms("world").next().unwrap_or(&none);
     let count = |name: &str, without: u64| told.count(name).unwrap_or(without) as usize;
-    let span = |name: &str, without: u64| told.span(name).unwrap_or(Duration::from_millis(without));
+    let span = |name: &str, without: u64| told.duration(name).unwrap_or(Duration::from_millis(without));
     let services = file.forms("service").map(|service| Service {
         name: service.title.clone(),
-        objective: service.span("objective").unwrap_or_default(),
-        timeout: service.span("timeout").unwrap_or(Duration::from_millis(1500)),
-        fresh: service.span("fresh").unwrap_or_default(),
-        grace: service.span("grace").unwrap_or_default(),
+        objective: service.duration("objective").unwrap_or_default(),
+        timeout: service.duration("timeout").unwrap_or(Duration::from_millis(1500)),
+        fresh: service.duration("fresh").unwrap_or_default(),
+        grace: service.duration("grace").unwrap_or_default(),
         non_idempotent: service.flag("non-idempotent").unwrap_or(false),
         share: service.number("share").unwrap_or(0.0),
         size_kb: service.number("size").unwrap_or(40.0),
@@ -160,7 +210,7 @@
         });
     let policies = policies.collect();
     if let (true, Err(what)) = (faults.is_empty(), world.check()) {
-        faults.push(Mistake { at: told.at, what });
+        faults.push(FileError { at: told.at, message: what });
     }
     faults.sort_by_key(|fault| fault.at);
     if faults.is_empty() {
@@ -171,7 +221,7 @@
 }
 
 /// All that one form names happens together.
-fn faults(fault: &Checked) -> Vec<Fault> {
+fn faults(fault: &CheckedForm) -> Vec<Fault> {
     let count = |name: &str| fault.count(name).map(|n| n as usize);
     let percent = |name: &str| fault.number(name).map(|part| (part * 100.0).round() as u32);
     let flag = |name: &str| fault.flag(name).filter(|on| *on).map(|_| ());
@@ -188,7 +238,7 @@
         fault.number("burst").map(|part| FaultKind::Burst(100 + (part * 100.0) as u32)),
     ];
     let (at, duration) =
-        (fault.span("at").unwrap_or_default(), fault.span("for").unwrap_or(Duration::from_secs(10)));
+        (fault.duration("at").unwrap_or_default(), fault.duration("for").unwrap_or(Duration::from_secs(10)));
     told.into_iter().flatten().map(|kind| Fault { at, duration, kind }).collect()
 }
 
--- a/crates/operator/src/form.rs
+++ b/crates/operator/src/form.rs
@@ -1,88 +1,91 @@
-//! What a file may say: forms of known names, each with the type, unit, number and meaning of what stands in it. A name
-//! that is not known is refused with the nearest one that is.
+//! Checks a file against its known forms. A form defines its fields with their types, units, occurrence and meaning. The error for
+//! an unknown name suggests the nearest known one.
 
-use crate::tree::{Fault, Node, Place, Tree};
+use crate::tree::{FileError, Node, Position, Tree};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What stands behind a name.
+/// The type of the value of a field.
 #[derive(Clone, Copy)]
 pub enum Kind {
     Text,
-    /// An IP address with its port, as text: names are not looked up.
+    /// An IP address with a port, as text. Host names are not resolved.
     Address,
     /// A whole number.
     Count,
-    /// A number over zero.
+    /// A number above zero.
     Number,
-    /// With its unit: `us`, `ms`, `s`, `m` or `h`.
-    Span,
-    /// `0.22` or `22%`.
-    Share,
-    /// Kilobytes a second: `310KB/s`, `1.2MB/s`.
-    Pace,
-    /// Times a second: `200/s`.
+    /// A duration with its unit: `us`, `ms`, `s`, `m` or `h`.
+    Duration,
+    /// A fraction: `0.22` or `22%`.
+    Fraction,
+    /// A transfer rate in kilobytes per second: `310KB/s`, `1.2MB/s`.
+    TransferRate,
+    /// A rate per second: `200/s`.
     Rate,
     Flag,
     OneOf(&'static [&'static str]),
     Form(&'static Form),
 }
 
-/// How often a name may stand in its form.
+/// How occurrence a field may occur in its form.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Often {
+pub enum Occurrence {
     Once,
-    /// With what holds where it is left out, for people.
-    Maybe(&'static str),
+    /// At most once, with a description of the default.
+    Optional(&'static str),
     Any,
     AtLeastOnce,
 }
 
+/// A field of a form.
 pub struct Field {
     pub name: &'static str,
     pub kind: Kind,
-    pub often: Often,
+    pub occurrence: Occurrence,
     pub about: &'static str,
 }
 
+/// A form: a list that begins with a name.
 pub struct Form {
-    /// Whether a name of its own, a text, comes first.
-    pub titled: bool,
+    /// Whether its first value is a text with its own name.
+    pub has_title: bool,
     pub fields: &'static [Field],
 }
 
+/// The value of a field.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     Text(String),
     Address(SocketAddr),
     Count(u64),
     Number(f64),
-    Span(Duration),
+    Duration(Duration),
     Flag(bool),
     Word(&'static str),
-    Form(Checked),
+    Form(CheckedForm),
 }
 
-/// A form as it was read: its title, and what stands behind each name, in order.
+/// A checked form: its title, and its fields with their positions and values, in order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Checked {
-    pub at: Place,
+pub struct CheckedForm {
+    pub at: Position,
     pub title: String,
-    pub values: Vec<(&'static str, Place, Value)>,
+    pub values: Vec<(&'static str, Position, Value)>,
 }
 
 impl Kind {
-    /// What should have stood there.
-    pub fn wanted(self) -> String {
+    /// Describes the expected value, for errors and explanations.
+    pub fn expected(self) -> String {
         match self {
             Kind::Text => "a text in double quotes".into(),
-            Kind::Address => "an address and port in double quotes, as \"127.0.0.1:18000\"".into(),
+            Kind::Address => "an address and port in double quotes, as in \"127.0.0.1:18000\"".into(),
             Kind::Count => "a whole number".into(),
-            Kind::Number => "a number over zero".into(),
-            Kind::Span => "a time with its unit, as 250ms, 1.5s, 2m or 1h".into(),
-            Kind::Share => "a share, as 0.22 or 22%".into(),
-            Kind::Pace => "kilobytes or megabytes a second, as 310KB/s or 1.2MB/s".into(),
-            Kind::Rate => "times a second, as 200/s".into(),
+            Kind::Number => "a number above zero".into(),
+            Kind::Duration => "a time with its unit, as in 250ms, 1.5s, 2m or 1h".into(),
+            Kind::Fraction => "a fraction, as in 0.22 or 22%".into(),
+            Kind::TransferRate => "kilobytes or megabytes per second, as in 310KB/s or 1.2MB/s".into(),
+            Kind::Rate => "a rate per second, as in 200/s".into(),
             Kind::Flag => "yes or no".into(),
             Kind::OneOf(words) => format!("one of {}", words.join(", ")),
             Kind::Form(_) => "a form".into(),
@@ -91,25 +94,25 @@
 
     fn read(self, node: &Node) -> Option<Value> {
         let measure = |word: &str, units: &[(&str, f64)]| {
-            let (unit, times) = units.iter().find(|(unit, _)| word.ends_with(unit))?;
-            let n: f64 = word[..word.len() - unit.len()].parse().ok()?;
-            Some(n * times).filter(|n| n.is_finite() && *n >= 0.0)
+            let (unit, factor) = units.iter().find(|(unit, _)| word.ends_with(unit))?;
+            let number: f64 = word[..word.len() - unit.len()].parse().ok()?;
+            Some(number * factor).filter(|value| value.is_finite() && *value >= 0.0)
         };
         Some(match (self, node) {
             (Kind::Text, Node::Text(text)) => Value::Text(text.clone()),
             (Kind::Address, Node::Text(text)) => Value::Address(text.parse().ok()?),
             (Kind::Count, Node::Word(word)) => Value::Count(word.parse().ok()?),
             (Kind::Number, Node::Word(word)) => {
-                Value::Number(word.parse().ok().filter(|n: &f64| n.is_finite() && *n > 0.0)?)
+                Value::Number(word.parse().ok().filter(|number: &f64| number.is_finite() && *number > 0.0)?)
             }
-            (Kind::Span, Node::Word(word)) => {
+            (Kind::Duration, Node::Word(word)) => {
                 let units = [("us", 1e-6), ("ms", 1e-3), ("s", 1.0), ("m", 60.0), ("h", 3600.0)];
-                Value::Span(Duration::try_from_secs_f64(measure(word, &units)?).ok()?)
+                Value::Duration(Duration::try_from_secs_f64(measure(word, &units)?).ok()?)
             }
-            (Kind::Share, Node::Word(word)) => {
-                Value::Number(measure(word, &[("%", 0.01), ("", 1.0)]).filter(|share| *share <= 1.0)?)
+            (Kind::Fraction, Node::Word(word)) => {
+                Value::Number(measure(word, &[("%", 0.01), ("", 1.0)]).filter(|fraction| *fraction <= 1.0)?)
             }
-            (Kind::Pace, Node::Word(word)) => {
+            (Kind::TransferRate, Node::Word(word)) => {
                 Value::Number(measure(word, &[("KB/s", 1.0), ("MB/s", 1000.0)])?)
             }
             (Kind::Rate, Node::Word(word)) => Value::Number(measure(word, &[("/s", 1.0)])?),
@@ -118,120 +121,156 @@
                 "no" => false,
                 _ => return None,
             }),
-            (Kind::OneOf(words), Node::Word(word)) => Value::Word(words.iter().find(|known| *known == word)?),
+            (Kind::OneOf(words), Node::Word(word)) => {
+                Value::Word(words.iter().find(|known_word| *known_word == word)?)
+            }
             _ => return None,
         })
     }
 }
 
-/// The nearest known name, where one is near enough to be meant.
-fn nearest(word: &str, known: impl Iterator<Item = &'static str>) -> Option<&'static str> {
-    let near = known.map(|name| (strsim::damerau_levenshtein(word, name), name)).min()?;
-    (near.0 <= near.1.len().max(word.len()) / 2).then_some(near.1)
+/// The known name nearest to `word`, if it is near enough to be a likely match.
+fn nearest(word: &str, known_names: impl Iterator<Item = &'static str>) -> Option<&'static str> {
+    let (distance, name) = known_names.map(|name| (strsim::damerau_levenshtein(word, name), name)).min()?;
+    (distance <= name.len().max(word.len()) / 2).then_some(name)
 }
 
-fn fault(faults: &mut Vec<Fault>, at: Place, what: String) {
-    faults.push(Fault { at, what });
+fn push_error(errors: &mut Vec<FileError>, at: Position, message: String) {
+    errors.push(FileError { at, message });
 }
 
-/// Checks the forms of a whole file.
-pub fn check(form: &'static Form, trees: &[Tree], faults: &mut Vec<Fault>) -> Checked {
-    inside(form, Place { line: 1, column: 1 }, "the file", String::new(), trees, faults)
+/// Checks a whole file.
+pub fn check(form: &'static Form, trees: &[Tree], errors: &mut Vec<FileError>) -> CheckedForm {
+    check_fields(form, Position { line: 1, column: 1 }, "the file", String::new(), trees, errors)
 }
 
-fn inside(
+fn check_fields(
     form: &'static Form,
-    at: Place,
-    named: &str,
+    at: Position,
+    form_label: &str,
     title: String,
     trees: &[Tree],
-    faults: &mut Vec<Fault>,
-) -> Checked {
-    let mut checked = Checked { at, title, values: Vec::new() };
+    errors: &mut Vec<FileError>,
+) -> CheckedForm {
+    let mut checked = CheckedForm { at, title, values: Vec::new() };
     for tree in trees {
         let Node::List(parts) = &tree.node else {
-            fault(faults, tree.at, format!("{named} holds forms in parentheses alone"));
+            push_error(
+                errors,
+                tree.at,
+                format!("word or text outside a form in {form_label}: put it into parentheses"),
+            );
             continue;
         };
         let Some((Tree { node: Node::Word(word), at }, rest)) = parts.split_first() else {
-            fault(faults, tree.at, "a form that does not begin with a name".into());
+            push_error(errors, tree.at, "form without a name: put the name of a field first".into());
             continue;
         };
         let Some(field) = form.fields.iter().find(|field| field.name == word) else {
-            let meant = nearest(word, form.fields.iter().map(|field| field.name));
-            let meant = meant.map(|name| format!("; is {name} meant?")).unwrap_or_default();
-            fault(faults, *at, format!("{word} is not known in {named}{meant}"));
+            let suggestion = nearest(word, form.fields.iter().map(|field| field.name));
+            let suggestion = suggestion.map(|name| format!("; did you mean {name}?")).unwrap_or_default();
+            push_error(errors, *at, format!("unknown name {word} in {form_label}{suggestion}"));
             continue;
         };
-        let again = checked.values.iter().find(|(name, ..)| *name == field.name);
-        if let Some((_, first, _)) = again.filter(|_| matches!(field.often, Often::Once | Often::Maybe(_))) {
-            fault(faults, *at, format!("{word} stands in {named} already, on line {}", first.line));
+        let previous = checked.values.iter().find(|(name, ..)| *name == field.name);
+        if let Some((_, first, _)) =
+            previous.filter(|_| matches!(field.occurrence, Occurrence::Once | Occurrence::Optional(_)))
+        {
+            push_error(
+                errors,
+                *at,
+                format!("duplicate {word} in {form_label}: it is already on line {}, remove one", first.line),
+            );
             continue;
         }
-        if let Some(value) = value(field, *at, rest, faults) {
+        if let Some(value) = read_value(field, *at, rest, errors) {
             checked.values.push((field.name, *at, value));
         }
     }
     for field in form.fields {
-        let wanted = matches!(field.often, Often::Once | Often::AtLeastOnce);
-        let stands = |tree: &Tree| match &tree.node {
+        let is_required = matches!(field.occurrence, Occurrence::Once | Occurrence::AtLeastOnce);
+        let is_present = |tree: &Tree| match &tree.node {
             Node::List(parts) => {
                 matches!(parts.first(), Some(Tree { node: Node::Word(word), .. }) if word == field.name)
             }
             _ => false,
         };
-        if wanted && !trees.iter().any(stands) {
-            fault(faults, at, format!("{named} lacks {}: {}", field.name, field.about));
+        if is_required && !trees.iter().any(is_present) {
+            push_error(errors, at, missing_field(form_label, field.name, field.about));
         }
     }
     checked
 }
 
-fn value(field: &'static Field, at: Place, rest: &[Tree], faults: &mut Vec<Fault>) -> Option<Value> {
+/// The error for a required field that is missing.
+pub(crate) fn missing_field(form_label: &str, name: &str, about: &str) -> String {
+    format!("missing {name} in {form_label}: add it ({about})")
+}
+
+fn read_value(
+    field: &'static Field,
+    at: Position,
+    rest: &[Tree],
+    errors: &mut Vec<FileError>,
+) -> Option<Value> {
     let Kind::Form(form) = field.kind else {
-        let [only] = rest else {
+        let [single] = rest else {
             let count = rest.len();
-            fault(faults, at, format!("{} takes {}, and {count} are there", field.name, field.kind.wanted()));
+            push_error(
+                errors,
+                at,
+                format!("{} expects {}, found {count} values", field.name, field.kind.expected()),
+            );
             return None;
         };
-        let read = field.kind.read(&only.node);
-        if read.is_none() {
-            let found = match &only.node {
+        let value = field.kind.read(&single.node);
+        if value.is_none() {
+            let found = match &single.node {
                 Node::List(_) => "a list".to_owned(),
                 Node::Word(word) => word.clone(),
                 Node::Text(text) => format!("{text:?}"),
             };
-            fault(faults, only.at, format!("{} takes {}, not {found}", field.name, field.kind.wanted()));
+            push_error(
+                errors,
+                single.at,
+                format!("{} expects {}, found {found}", field.name, field.kind.expected()),
+            );
         }
-        return read;
+        return value;
     };
     let (title, rest) = match rest.split_first() {
-        Some((Tree { node: Node::Text(title), .. }, rest)) if form.titled => (title.clone(), rest),
-        _ if form.titled => {
-            fault(faults, at, format!("{} begins with its own name in double quotes", field.name));
+        Some((Tree { node: Node::Text(title), .. }, rest)) if form.has_title => (title.clone(), rest),
+        _ if form.has_title => {
+            push_error(
+                errors,
+                at,
+                format!("{} has no name: put its name first, in double quotes", field.name),
+            );
             (String::new(), rest)
         }
         _ => (String::new(), rest),
     };
-    let named = if form.titled { format!("{} {title:?}", field.name) } else { field.name.to_owned() };
-    Some(Value::Form(inside(form, at, &named, title, rest, faults)))
+    let form_label = if form.has_title { format!("{} {title:?}", field.name) } else { field.name.to_owned() };
+    Some(Value::Form(check_fields(form, at, &form_label, title, rest, errors)))
 }
 
-impl Checked {
+impl CheckedForm {
     fn find(&self, name: &str) -> Option<&Value> {
-        self.values.iter().find(|(known, ..)| *known == name).map(|(.., value)| value)
+        self.values.iter().find(|(field_name, ..)| *field_name == name).map(|(.., value)| value)
     }
 
-    /// Where a name stands, else where its form does.
-    pub fn place(&self, name: &str) -> Place {
-        self.values.iter().find(|(known, ..)| *known == name).map_or(self.at, |(_, at, _)| *at)
+    /// The position of a field, or of the form if the field is absent.
+    pub fn position(&self, name: &str) -> Position {
+        self.values.iter().find(|(field_name, ..)| *field_name == name).map_or(self.at, |(_, at, _)| *at)
     }
 
-    pub fn forms(&self, name: &str) -> impl Iterator<Item = &Checked> {
-        let values = self.values.iter().filter(move |(known, ..)| *known == name);
+    /// All forms in a field.
+    pub fn forms(&self, name: &str) -> impl Iterator<Item = &CheckedForm> {
+        let values = self.values.iter().filter(move |(field_name, ..)| *field_name == name);
         values.filter_map(|(.., value)| if let Value::Form(form) = value { Some(form) } else { None })
     }
 
+    /// The text or the word in a field.
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.find(name)? {
             Value::Text(text) => Some(text),
@@ -244,15 +283,16 @@
         if let Value::Address(address) = self.find(name)? { Some(*address) } else { None }
     }
 
-    /// All texts, or addresses, that stand behind a name.
+    /// All texts in a field.
     pub fn texts(&self, name: &str) -> impl Iterator<Item = &str> {
-        let values = self.values.iter().filter(move |(known, ..)| *known == name);
+        let values = self.values.iter().filter(move |(field_name, ..)| *field_name == name);
         values
             .filter_map(|(.., value)| if let Value::Text(text) = value { Some(text.as_str()) } else { None })
     }
 
+    /// All addresses in a field.
     pub fn addresses(&self, name: &str) -> impl Iterator<Item = SocketAddr> {
-        let values = self.values.iter().filter(move |(known, ..)| *known == name);
+        let values = self.values.iter().filter(move |(field_name, ..)| *field_name == name);
         values
             .filter_map(|(.., value)| if let Value::Address(address) = value { Some(*address) } else { None })
     }
@@ -265,8 +305,8 @@
         if let Value::Number(number) = self.find(name)? { Some(*number) } else { None }
     }
 
-    pub fn span(&self, name: &str) -> Option<Duration> {
-        if let Value::Span(span) = self.find(name)? { Some(*span) } else { None }
+    pub fn duration(&self, name: &str) -> Option<Duration> {
+        if let Value::Duration(duration) = self.find(name)? { Some(*duration) } else { None }
     }
 
     pub fn flag(&self, name: &str) -> Option<bool> {
@@ -274,25 +314,25 @@
     }
 }
 
-/// All that a form may hold, for people: name, what stands there, what holds without it, what it is for.
+/// Describes the fields of a form to users: name, expected value, occurrence or default, and meaning.
 pub fn explain(form: &Form, depth: usize, out: &mut String) {
     for field in form.fields {
-        let often = match field.often {
-            Often::Once => "needed".to_owned(),
-            Often::Maybe(without) => format!("else {without}"),
-            Often::Any => "any number".to_owned(),
-            Often::AtLeastOnce => "one or more".to_owned(),
+        let occurrence = match field.occurrence {
+            Occurrence::Once => "needed".to_owned(),
+            Occurrence::Optional(default) => format!("else {default}"),
+            Occurrence::Any => "any number".to_owned(),
+            Occurrence::AtLeastOnce => "one or more".to_owned(),
         };
         let (indent, about) = ("  ".repeat(depth), field.about);
-        if let Kind::Form(inner) = field.kind {
-            let title = if inner.titled { " \"NAME\"" } else { "" };
-            out.push_str(&format!("{indent}({}{title} ...)  [{often}] {about}\n", field.name));
-            explain(inner, depth + 1, out);
+        if let Kind::Form(inner_form) = field.kind {
+            let title = if inner_form.has_title { " \"NAME\"" } else { "" };
+            out.push_str(&format!("{indent}({}{title} ...)  [{occurrence}] {about}\n", field.name));
+            explain(inner_form, depth + 1, out);
         } else {
             out.push_str(&format!(
-                "{indent}({} ...)  {} [{often}] {about}\n",
+                "{indent}({} ...)  {} [{occurrence}] {about}\n",
                 field.name,
-                field.kind.wanted()
+                field.kind.expected()
             ));
         }
     }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operator file: what an installation says of itself, as S-expressions. `tree` reads the text, `form` checks it
-//! against what is known and gives each value its type, `file` says what is known, `logs` sets up what is logged.
-//! Every fault of a file is told with its line and column, not only the first.
+//! The operator file, which describes an installation in S-expressions. `tree` parses the text, `form` checks it against the
+//! known forms and gives each value its type, `file` defines the forms and reads the settings, and `logs` sets up logging.
+//! All errors of a file are reported with line and column, not only the first.
 
 pub mod file;
 pub mod form;
@@ -8,16 +8,16 @@
 pub mod tree;
 
 pub use file::OperatorFile;
-pub use tree::Fault;
+pub use tree::FileError;
 
 /// Reads and checks a whole file.
 ///
 /// # Errors
-/// All faults, in the order of the text.
-pub fn read(text: &str) -> Result<OperatorFile, Vec<Fault>> {
-    let (trees, mut faults) = tree::read(text);
-    let checked = form::check(&file::FILE, &trees, &mut faults);
-    let read = OperatorFile::of(&checked, &mut faults);
-    faults.sort_by_key(|fault| (fault.at.line, fault.at.column));
-    if faults.is_empty() { Ok(read) } else { Err(faults) }
+/// All errors, in the order of the text.
+pub fn read(text: &str) -> Result<OperatorFile, Vec<FileError>> {
+    let (trees, mut errors) = tree::read(text);
+    let checked = form::check(&file::FILE, &trees, &mut errors);
+    let file = OperatorFile::from_form(&checked, &mut errors);
+    errors.sort_by_key(|error| (error.at.line, error.at.column));
+    if errors.is_empty() { Ok(file) } else { Err(errors) }
 }
--- a/crates/operator/src/logs.rs
+++ b/crates/operator/src/logs.rs
@@ -1,4 +1,4 @@
-//! What is logged: one line a record to standard error, as text or as a JSON object, with the record's key-values.
+//! Logging to standard error: one line per record, as text or as a JSON object, with the key-values of the record.
 
 use env_logger::fmt::Formatter;
 use log::kv::{Error, Key, Value, VisitSource};
@@ -7,15 +7,17 @@
 use std::io::{self, Write};
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     #[default]
     Text,
     Json,
 }
 
-impl Form {
-    pub fn named(name: &str) -> Option<Self> {
+impl LogFormat {
+    /// The format with this name in an operator file.
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "text" => Some(Self::Text),
             "json" => Some(Self::Json),
@@ -24,16 +26,16 @@
     }
 }
 
-/// Sets up logging. `RUST_LOG` goes before `level`.
-pub fn start(form: Form, level: LevelFilter) {
+/// Sets up logging. `RUST_LOG` takes precedence over `level`.
+pub fn start(format: LogFormat, level: LevelFilter) {
     let filters = std::env::var("RUST_LOG").unwrap_or_else(|_| level.to_string());
     let mut builder = env_logger::Builder::new();
     builder.parse_filters(&filters);
-    match form {
-        Form::Text => builder.format(text),
-        Form::Json => builder.format(json),
+    match format {
+        LogFormat::Text => builder.format(write_text),
+        LogFormat::Json => builder.format(write_json),
     };
-    // A second start in one process, as in tests, keeps the first.
+    // A second call in one process, as in tests, has no effect.
     let _ = builder.try_init();
 }
 
@@ -55,7 +57,7 @@
     pairs.0
 }
 
-fn text(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
+fn write_text(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     write!(out, "{} {}", record.level(), record.args())?;
     for (key, value) in pairs(record) {
         write!(out, " {key}={value}")?;
@@ -63,17 +65,18 @@
     writeln!(out)
 }
 
-fn json(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+fn write_json(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut line = pairs(record);
-    line.insert("unix_ms".into(), (unix.as_millis() as u64).into());
+    line.insert("unix_ms".into(), (since_epoch.as_millis() as u64).into());
     line.insert("level".into(), record.level().as_str().into());
     line.insert("target".into(), record.target().into());
     line.insert("message".into(), record.args().to_string().into());
     writeln!(out, "{}", Json::Object(line))
 }
 
-/// Logging as the platform's dispatcher has it.
+/// Sets up logging for the dispatcher that the platform starts: in the default format of `env_logger`, configured by `RUST_LOG`
+/// alone.
 pub fn start_plain() {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
 }
--- a/crates/operator/src/tree.rs
+++ b/crates/operator/src/tree.rs
@@ -1,4 +1,5 @@
-//! S-expressions with the place of each in the text. A fault ends nothing: reading goes on behind it, so that all are told.
+//! Parses S-expressions and records the position of each in the text. An error does not end the parsing, so that all errors of
+//! a text are reported.
 
 use std::fmt;
 use winnow::ascii::{multispace1, till_line_ending};
@@ -7,40 +8,43 @@
 use winnow::stream::{LocatingSlice, Location};
 use winnow::token::{any, none_of, take_while};
 
-/// Lists in lists; a file that goes deeper is a mistake, and reading it must not use up the stack.
-const DEEPEST: usize = 64;
+/// Maximum nesting of lists. A file with deeper nesting is a mistake, and must not overflow the stack.
+const MAX_DEPTH: usize = 64;
 
-/// A place in the text, both counted from 1, columns in characters.
+/// A position in the text. Lines and columns are counted from 1, columns in characters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     pub line: usize,
     pub column: usize,
 }
 
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    pub at: Place,
-    pub what: String,
+pub struct FileError {
+    pub at: Position,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.at.line, self.at.column, self.what)
+        write!(f, "{}:{}: {}", self.at.line, self.at.column, self.message)
     }
 }
 
+/// A list or a value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Node {
     List(Vec<Tree>),
-    /// A bare word: a name, a number with its unit.
+    /// A word without quotes: a name, or a number with or without a unit.
     Word(String),
-    /// Between double quotes.
+    /// A text in double quotes.
     Text(String),
 }
 
+/// A node with its position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tree {
-    pub at: Place,
+    pub at: Position,
     pub node: Node,
 }
 
@@ -51,90 +55,95 @@
     Word(String),
     Text(String),
     Blank,
-    Broken(&'static str),
+    Invalid(&'static str),
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 
 fn escaped(input: &mut Input<'_>) -> ModalResult<char> {
-    preceded('\\', any).map(|c| if c == 'n' { '\n' } else { c }).parse_next(input)
+    preceded('\\', any).map(|character| if character == 'n' { '\n' } else { character }).parse_next(input)
 }
 
 fn token(input: &mut Input<'_>) -> ModalResult<Token> {
-    let inside = repeat(0.., alt((none_of(['"', '\\']), escaped)));
+    let content = repeat(0.., alt((none_of(['"', '\\']), escaped)));
     alt((
         multispace1.value(Token::Blank),
         preceded(';', till_line_ending).value(Token::Blank),
         '('.value(Token::Open),
         ')'.value(Token::Close),
-        delimited('"', inside, '"').map(Token::Text),
-        // A text without its end takes the rest of its line, so that what follows is still read.
-        preceded('"', till_line_ending).value(Token::Broken("a text without its closing quote")),
-        take_while(1.., |c: char| !c.is_whitespace() && !c.is_control() && !"();\"".contains(c))
-            .map(|word: &str| Token::Word(word.to_owned())),
-        any.value(Token::Broken("a character that belongs to nothing")),
+        delimited('"', content, '"').map(Token::Text),
+        // An unterminated text ends at the end of its line, so that the following lines are still parsed.
+        preceded('"', till_line_ending).value(Token::Invalid("unterminated text: add the closing quote")),
+        take_while(1.., |character: char| {
+            !character.is_whitespace() && !character.is_control() && !"();\"".contains(character)
+        })
+        .map(|word: &str| Token::Word(word.to_owned())),
+        any.value(Token::Invalid("unexpected character: remove it")),
     ))
     .parse_next(input)
 }
 
-/// Turns offsets, asked for in rising order, into places.
-struct Places<'a> {
+/// Converts byte offsets, requested in ascending order, into positions.
+struct PositionTracker<'a> {
     text: &'a str,
     offset: usize,
-    place: Place,
+    position: Position,
 }
 
-impl Places<'_> {
-    fn of(&mut self, offset: usize) -> Place {
-        for c in self.text[self.offset..offset].chars() {
-            if c == '\n' {
-                self.place = Place { line: self.place.line + 1, column: 1 };
+impl PositionTracker<'_> {
+    fn position_at(&mut self, offset: usize) -> Position {
+        for character in self.text[self.offset..offset].chars() {
+            if character == '\n' {
+                self.position = Position { line: self.position.line + 1, column: 1 };
             } else {
-                self.place.column += 1;
+                self.position.column += 1;
             }
         }
         self.offset = offset;
-        self.place
+        self.position
     }
 }
 
-/// All that can be read of a text, and what can't.
-pub fn read(text: &str) -> (Vec<Tree>, Vec<Fault>) {
+/// Parses a text. Returns everything that can be parsed, and the errors.
+pub fn read(text: &str) -> (Vec<Tree>, Vec<FileError>) {
     let mut input = LocatingSlice::new(text);
-    let mut places = Places { text, offset: 0, place: Place { line: 1, column: 1 } };
-    let (mut open, mut here, mut faults) = (Vec::<(Place, Vec<Tree>)>::new(), Vec::new(), Vec::new());
+    let mut positions = PositionTracker { text, offset: 0, position: Position { line: 1, column: 1 } };
+    let (mut open, mut current, mut errors) = (Vec::<(Position, Vec<Tree>)>::new(), Vec::new(), Vec::new());
     let mut too_deep = 0;
     while !input.is_empty() {
         let offset = input.current_token_start();
         let Ok(token) = token(&mut input) else { break };
-        let at = places.of(offset);
+        let at = positions.position_at(offset);
         match token {
             Token::Blank => {}
-            Token::Broken(what) => faults.push(Fault { at, what: what.into() }),
-            Token::Word(word) => here.push(Tree { at, node: Node::Word(word) }),
-            Token::Text(text) => here.push(Tree { at, node: Node::Text(text) }),
-            Token::Open if open.len() >= DEEPEST => {
+            Token::Invalid(message) => errors.push(FileError { at, message: message.into() }),
+            Token::Word(word) => current.push(Tree { at, node: Node::Word(word) }),
+            Token::Text(text) => current.push(Tree { at, node: Node::Text(text) }),
+            Token::Open if open.len() >= MAX_DEPTH => {
                 if too_deep == 0 {
-                    faults.push(Fault { at, what: format!("more than {DEEPEST} lists in one another") });
+                    errors.push(FileError {
+                        at,
+                        message: format!("lists nested more than {MAX_DEPTH} deep: close some of them first"),
+                    });
                 }
                 too_deep += 1;
             }
-            Token::Open => open.push((at, std::mem::take(&mut here))),
+            Token::Open => open.push((at, std::mem::take(&mut current))),
             Token::Close if too_deep > 0 => too_deep -= 1,
             Token::Close => match open.pop() {
                 Some((at, outer)) => {
-                    let list = std::mem::replace(&mut here, outer);
-                    here.push(Tree { at, node: Node::List(list) });
+                    let list = std::mem::replace(&mut current, outer);
+                    current.push(Tree { at, node: Node::List(list) });
                 }
-                None => faults.push(Fault { at, what: "a ')' that closes nothing".into() }),
+                None => errors.push(FileError { at, message: "unmatched ')': remove it".into() }),
             },
         }
     }
-    // What was never closed is read as if it ended here.
+    // Unclosed lists are treated as if they ended here.
     while let Some((at, outer)) = open.pop() {
-        faults.push(Fault { at, what: "a '(' that is never closed".into() });
-        let list = std::mem::replace(&mut here, outer);
-        here.push(Tree { at, node: Node::List(list) });
+        errors.push(FileError { at, message: "unclosed '(': add the closing ')'".into() });
+        let list = std::mem::replace(&mut current, outer);
+        current.push(Tree { at, node: Node::List(list) });
     }
-    (here, faults)
+    (current, errors)
 }
--- a/crates/operator/tests/replica.rs
+++ b/crates/operator/tests/replica.rs
@@ -1,52 +1,52 @@
-//! What an operator file tells of replicas, and of dispatchers that poll them.
+//! Tests the settings of replicas, and of dispatchers that poll them.
 
-use myrtlegauge_operator::file::{ReplicaPeer, ReplicaTerms, ReplicasTerms};
+use myrtlegauge_operator::file::{ReplicaClientSettings, ReplicaPeer, ReplicaSettings};
 use myrtlegauge_operator::{form, read};
 use std::time::Duration;
 
 const REPLICA: &str = include_str!("../../../deploy/replica.sexp");
 const DISPATCHER: &str = include_str!("../../../deploy/replicas-dispatcher.sexp");
 
-fn faults(text: &str) -> Vec<String> {
-    read(text).expect_err("it has faults").iter().map(ToString::to_string).collect()
+fn errors(text: &str) -> Vec<String> {
+    read(text).expect_err("the file has errors").iter().map(ToString::to_string).collect()
 }
 
-fn example() -> ReplicaTerms {
-    read(REPLICA).expect("the example has no fault").replica.expect("it tells of a replica")
+fn example() -> ReplicaSettings {
+    read(REPLICA).expect("the example has no errors").replica.expect("the example has a replica")
 }
 
 #[test]
-fn the_example_needs_no_footprint_and_is_read_whole() {
+fn the_example_is_read_in_full_without_a_footprint() {
     let peer = |name: &str, address: &str| ReplicaPeer {
         name: name.to_owned(),
         address: address.parse().expect("an address"),
     };
-    let told = ReplicaTerms {
+    let expected = ReplicaSettings {
         name: "replica-1".to_owned(),
         listen: "127.0.0.1:18100".parse().expect("an address"),
         peers: vec![peer("replica-2", "127.0.0.1:18101"), peer("replica-3", "127.0.0.1:18102")],
         source: Some("127.0.0.1:4222".parse().expect("an address")),
-        batch: Duration::from_millis(100),
+        batch_interval: Duration::from_millis(100),
         member_lease: Duration::from_secs(10),
-        doubt_after: Duration::from_secs(3),
-        purges_kept: Duration::from_secs(40),
-        most_connections: 1000,
+        purges_unknown_after: Duration::from_secs(3),
+        purge_retention: Duration::from_secs(40),
+        max_connections: 1000,
     };
-    assert_eq!(example(), told);
+    assert_eq!(example(), expected);
 }
 
 #[test]
-fn what_is_left_out_holds_as_explained() {
-    let short = read("(replica (name \"a\") (listen \"127.0.0.1:0\"))").expect("no fault");
-    let read = short.replica.expect("a replica");
-    let whole = ReplicaTerms {
-        name: read.name.clone(),
-        listen: read.listen,
+fn omitted_fields_have_their_defaults() {
+    let minimal = read("(replica (name \"a\") (listen \"127.0.0.1:0\"))").expect("no errors");
+    let replica = minimal.replica.expect("a replica");
+    let expected = ReplicaSettings {
+        name: replica.name.clone(),
+        listen: replica.listen,
         peers: vec![],
         source: None,
         ..example()
     };
-    assert_eq!(read, whole);
+    assert_eq!(replica, expected);
     let mut text = String::new();
     form::explain(&myrtlegauge_operator::file::FILE, 0, &mut text);
     for field in [
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn every_fault_of_a_replica_is_told_by_its_place() {
+fn all_errors_of_a_replica_have_their_positions() {
     let broken = REPLICA
         .replace("(name \"replica-2\")", "(name \"replica-1\")")
         .replace(
@@ -74,64 +74,65 @@
         .replace("(purges-kept 40s)", "(purges-kept 900ms)")
         .replace("(most-connections 1000)", "(most-connections 0)");
     assert_eq!(
-        faults(&broken),
+        errors(&broken),
         [
             "8:4: peer is this replica itself: name the others alone",
-            "9:4: peer is named already, on line 8",
-            "9:10: name is not made of 1 to 64 letters, digits, '-', '_' and '.': it goes into polls as it is",
+            "9:4: duplicate peer: it is already on line 8, remove one",
+            "9:10: name is not 1 to 64 letters, digits, '-', '_' and '.': it is sent in polls without escaping, choose another",
             "10:4: source is this replica itself: name the platform's change log",
-            "11:4: batch is over 1s: pollers take a replica that is silent for so long as gone",
-            "12:4: member-lease is not over doubt-after: who is forgotten could still answer with copies",
-            "14:4: purges-kept is not over member-lease: who is still a member could miss a purge",
-            "15:4: most-connections is zero: nobody could poll",
+            "11:4: batch is above 1s: pollers treat a replica without answers for that long as removed, lower it",
+            "12:4: member-lease is not above doubt-after: a dispatcher that is no longer waited for could still serve copies, raise it",
+            "14:4: purges-kept is not above member-lease: a dispatcher that is still a member could miss a purge, raise it",
+            "15:4: most-connections is zero: no dispatcher could poll, raise it",
         ]
     );
 }
 
 #[test]
-fn a_file_of_more_than_a_replica_still_needs_a_footprint() {
-    let both = format!("{REPLICA}\n(control (name \"c\") (listen \"127.0.0.1:0\"))");
+fn a_file_with_more_than_a_replica_needs_a_footprint() {
+    let with_control = format!("{REPLICA}\n(control (name \"c\") (listen \"127.0.0.1:0\"))");
     assert_eq!(
-        faults(&both),
+        errors(&with_control),
         [
-            "1:1: the file lacks footprint: places and machines around this service",
-            "1:1: the file lacks delivery-service: one kind of GET and its promise",
+            "1:1: missing footprint in the file: add it (the locations and machines around this service)",
+            "1:1: missing delivery-service in the file: add it (a kind of GET and its objectives)",
         ]
     );
 }
 
 #[test]
 fn a_dispatcher_polls_a_primary_and_a_fallback() {
-    let told = read(DISPATCHER).expect("the example has no fault").dispatcher.expect("a dispatcher");
-    let replicas = ReplicasTerms {
+    let dispatcher = read(DISPATCHER).expect("the example has no errors").dispatcher.expect("a dispatcher");
+    let replicas = ReplicaClientSettings {
         primary: "127.0.0.1:18100".parse().expect("an address"),
         fallback: "127.0.0.1:18101".parse().expect("an address"),
-        doubt_after: Duration::from_secs(3),
+        purges_unknown_after: Duration::from_secs(3),
     };
-    assert_eq!((told.replicas, told.change_log), (Some(replicas), replicas.primary));
+    assert_eq!((dispatcher.replicas, dispatcher.change_log), (Some(replicas), replicas.primary));
 }
 
 #[test]
-fn a_fallback_that_is_the_primary_and_a_change_log_beside_them_are_faults() {
+fn a_fallback_equal_to_the_primary_and_a_change_log_beside_replicas_are_errors() {
     let same = DISPATCHER.replace("(fallback \"127.0.0.1:18101\")", "(fallback \"127.0.0.1:18100\")");
-    assert_eq!(faults(&same), ["10:6: fallback is the primary: name another replica"]);
-    let beside = DISPATCHER.replace("(replicas", "(change-log \"127.0.0.1:1\")\n  (replicas");
+    assert_eq!(errors(&same), ["10:6: fallback is the same replica as primary: name another one"]);
+    let with_change_log = DISPATCHER.replace("(replicas", "(change-log \"127.0.0.1:1\")\n  (replicas");
     assert_eq!(
-        faults(&beside),
-        ["9:4: replicas stand beside change-log: a dispatcher polls one of both, leave the other out"]
+        errors(&with_change_log),
+        ["9:4: replicas and change-log are both set: a dispatcher polls only one of them, remove the other"]
     );
-    let hasty = DISPATCHER.replace("doubt-after 3s", "doubt-after 900ms");
+    let short_doubt = DISPATCHER.replace("doubt-after 3s", "doubt-after 900ms");
     assert_eq!(
-        faults(&hasty),
+        errors(&short_doubt),
         [
-            "11:6: doubt-after is under 1s: a change to the fallback takes that long, copies would be doubted by it"
+            "11:6: doubt-after is below 1s: switching to the fallback takes that long and copies would not be accepted meanwhile, raise it"
         ]
     );
-    let neither = DISPATCHER.replace("(replicas", "(peers (listen \"127.0.0.1:1\") (fleet \"f\") (peer \"127.0.0.1:2\"))) (control (name \"c\") (listen \"127.0.0.1:0\")) (zones");
+    let without_both = DISPATCHER.replace("(replicas", "(peers (listen \"127.0.0.1:1\") (fleet \"f\") (peer \"127.0.0.1:2\"))) (control (name \"c\") (listen \"127.0.0.1:0\")) (zones");
     assert!(
-        faults(&neither)
-            .contains(&"5:2: dispatcher lacks change-log: the change log of hosts and purges".to_owned()),
+        errors(&without_both).contains(
+            &"5:2: missing change-log in dispatcher: add it (the change log of hosts and purges)".to_owned()
+        ),
         "{:?}",
-        faults(&neither)
+        errors(&without_both)
     );
 }
--- a/crates/replica/src/service.rs
+++ b/crates/replica/src/service.rs
@@ -10,7 +10,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, LoopHandle};
 use myrtlegauge_operator::OperatorFile;
-use myrtlegauge_operator::file::ReplicaTerms;
+use myrtlegauge_operator::file::ReplicaSettings;
 use myrtlegauge_replication::{
     Incarnation, LogId, PollAnswer, PollId, PollRequest, PublishError, Record, Replica, ReplicaConfig,
     ReplicaDefences, ReplicaName,
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     /// Terms that can't work, an address that can't be listened on.
-    pub fn start(hub: LoopHandle<'static, Self>, terms: &ReplicaTerms) -> Result<Self, ReplicaError> {
+    pub fn start(hub: LoopHandle<'static, Self>, terms: &ReplicaSettings) -> Result<Self, ReplicaError> {
         Self::start_with(hub, terms, ReplicaDefences::default())
     }
 
@@ -148,7 +148,7 @@
     /// As of [`Service::start`].
     pub fn start_with(
         hub: LoopHandle<'static, Self>,
-        terms: &ReplicaTerms,
+        terms: &ReplicaSettings,
         defences: ReplicaDefences,
     ) -> Result<Self, ReplicaError> {
         let clock = Clock::start();
@@ -163,7 +163,7 @@
             name,
             log,
             core,
-            pollers: Pollers::new(listener, terms.most_connections),
+            pollers: Pollers::new(listener, terms.max_connections),
             peers: Peers::new(&terms.peers),
             source: terms.source.map(Source::new),
             purges: LatestPurges::default(),
@@ -481,14 +481,14 @@
     }
 }
 
-fn config(terms: &ReplicaTerms, incarnation: Incarnation) -> ReplicaConfig {
+fn config(terms: &ReplicaSettings, incarnation: Incarnation) -> ReplicaConfig {
     let name = ReplicaName(terms.name.clone());
     let peers = terms.peers.iter().map(|peer| ReplicaName(peer.name.clone())).collect();
     ReplicaConfig {
-        batch_interval: terms.batch,
+        batch_interval: terms.batch_interval,
         member_lease: terms.member_lease,
-        purge_span: terms.purges_kept,
-        doubt_after: terms.doubt_after,
+        purge_span: terms.purge_retention,
+        doubt_after: terms.purges_unknown_after,
         ..ReplicaConfig::new(name, peers, incarnation)
     }
 }
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use calloop::EventLoop;
-use myrtlegauge_operator::file::{ReplicaPeer, ReplicaTerms};
+use myrtlegauge_operator::file::{ReplicaPeer, ReplicaSettings};
 use myrtlegauge_replica::Service;
 use myrtlegauge_replica::status::{self, PurgeState, Status};
 use myrtlegauge_replication::{HostLine, PollAnswer, Purge, PurgeTarget, Record, Version};
@@ -28,17 +28,17 @@
     listener.local_addr().expect("an address")
 }
 
-pub fn terms(name: &str, listen: SocketAddr) -> ReplicaTerms {
-    ReplicaTerms {
+pub fn terms(name: &str, listen: SocketAddr) -> ReplicaSettings {
+    ReplicaSettings {
         name: name.to_owned(),
         listen,
         peers: Vec::new(),
         source: None,
-        batch: Duration::from_millis(100),
+        batch_interval: Duration::from_millis(100),
         member_lease: Duration::from_secs(10),
-        doubt_after: Duration::from_secs(3),
-        purges_kept: Duration::from_secs(40),
-        most_connections: 100,
+        purges_unknown_after: Duration::from_secs(3),
+        purge_retention: Duration::from_secs(40),
+        max_connections: 100,
     }
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Running {
-    pub fn start(terms: ReplicaTerms) -> Self {
+    pub fn start(terms: ReplicaSettings) -> Self {
         let (orders, heard) = mpsc::channel();
         let (tells, told) = mpsc::channel();
         let thread = std::thread::spawn(move || serve(&terms, &heard, &tells));
@@ -104,7 +104,7 @@
     }
 }
 
-fn serve(terms: &ReplicaTerms, orders: &Receiver<Order>, tells: &Sender<SocketAddr>) {
+fn serve(terms: &ReplicaSettings, orders: &Receiver<Order>, tells: &Sender<SocketAddr>) {
     let mut turns = EventLoop::<Service>::try_new().expect("a loop");
     let mut service = Service::start(turns.handle(), terms).expect("a replica");
     tells.send(service.address().expect("an address")).expect("the test waits for it");
--- a/crates/replica/tests/exchange.rs
+++ b/crates/replica/tests/exchange.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::{Raw, Running, free_address, is_in_force, member_query, peer, purge, purged, state, terms};
-use myrtlegauge_operator::file::ReplicaTerms;
+use myrtlegauge_operator::file::ReplicaSettings;
 use myrtlegauge_replica::status::PurgeState;
 use myrtlegauge_replication::ReplicaStanding;
 use std::time::{Duration, Instant};
 
 fn pair() -> (Running, Running) {
     let [at_a, at_b] = [free_address(), free_address()];
-    let a = ReplicaTerms { peers: vec![peer("b", at_b)], ..terms("a", at_a) };
-    let b = ReplicaTerms { peers: vec![peer("a", at_a)], ..terms("b", at_b) };
+    let a = ReplicaSettings { peers: vec![peer("b", at_b)], ..terms("a", at_a) };
+    let b = ReplicaSettings { peers: vec![peer("a", at_a)], ..terms("b", at_b) };
     (Running::start(a), Running::start(b))
 }
 
@@ -74,8 +74,8 @@
 #[test]
 fn a_peer_that_starts_anew_is_read_from_its_start() {
     let [at_a, at_b] = [free_address(), free_address()];
-    let a = Running::start(ReplicaTerms { peers: vec![peer("b", at_b)], ..terms("a", at_a) });
-    let b_terms = ReplicaTerms { peers: vec![peer("a", at_a)], ..terms("b", at_b) };
+    let a = Running::start(ReplicaSettings { peers: vec![peer("b", at_b)], ..terms("a", at_a) });
+    let b_terms = ReplicaSettings { peers: vec![peer("a", at_a)], ..terms("b", at_b) };
     let b = Running::start(b_terms.clone());
     b.publish(purge("c1"));
     assert_eq!(purged(&Raw::connect(a.address).poll("since=0&timeout=20000")), ["c1"]);
--- a/crates/replica/tests/polls.rs
+++ b/crates/replica/tests/polls.rs
@@ -35,7 +35,10 @@
 fn news_of_one_batch_interval_go_together() {
     let batch = Duration::from_millis(600);
     let at = "127.0.0.1:0".parse().expect("an address");
-    let replica = Running::start(myrtlegauge_operator::file::ReplicaTerms { batch, ..terms("a", at) });
+    let replica = Running::start(myrtlegauge_operator::file::ReplicaSettings {
+        batch_interval: batch,
+        ..terms("a", at)
+    });
     let mut poller = Raw::connect(replica.address);
     let first = poller.poll(&member_query("m", "", 0, 0));
     let answered_at = Instant::now();
@@ -145,7 +148,7 @@
 #[test]
 fn over_the_bound_on_connections_the_idle_make_room() {
     let at = "127.0.0.1:0".parse().expect("an address");
-    let bound = myrtlegauge_operator::file::ReplicaTerms { most_connections: 3, ..terms("a", at) };
+    let bound = myrtlegauge_operator::file::ReplicaSettings { max_connections: 3, ..terms("a", at) };
     let replica = Running::start(bound);
     let mut busy = Raw::connect(replica.address);
     busy.ask("since=0&timeout=20000");
