--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -137,5 +137,5 @@
     } else {
         print!("{}", results.table());
     }
-    if results.broken() > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    if results.violations() > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -210,8 +210,8 @@
 }
 
 impl Client {
-    /// Creates a client for these services and dispatchers. `seed` determines the ids and the delays of reconnects, so no two
-    /// clients may use the same one.
+    /// Creates a client for these services and dispatchers. `seed` determines the ids and the delays of reconnects, so no
+    /// two clients may use the same one.
     ///
     /// # Errors
     /// The event loop can't be created.
--- a/crates/client/src/decide.rs
+++ b/crates/client/src/decide.rs
@@ -1,6 +1,6 @@
-//! All decisions of the library: budgets, retries and their destination, pauses, and the rate of reconnects. The module has
-//! no I/O and no clock. The driver calls `Core::round(now, &mut sink, |round| …)` once per batch of events, with one call on
-//! `Round` per event; the resulting actions go into `sink`.
+//! All decisions of the library: budgets, retries and their destination, pauses, and the rate of reconnects. The module
+//! has no I/O and no clock. The driver calls `Core::round(now, &mut sink, |round| …)` once per batch of events, with one
+//! call on `Round` per event; the resulting actions go into `sink`.
 
 use crate::terms::*;
 use slab::Slab;
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,8 +1,8 @@
 //! The client library of the dispatcher, for the front servers of member stores and for tablets.
 //!
-//! One budget covers a whole call with all its attempts. Attempts after the first are marked as such. A GET that may have had
-//! an effect is never sent again; its caller gets that outcome. A refusal holds back all calls to that dispatcher. Reconnects
-//! of many clients are spread over time.
+//! One budget covers a whole call with all its attempts. Attempts after the first are marked as such. A GET that may have
+//! had an effect is never sent again; its caller gets that outcome. A refusal holds back all calls to that dispatcher.
+//! Reconnects of many clients are spread over time.
 //!
 //! `decide` makes all decisions, without I/O. `client` runs it on a calloop event loop; `handle` is a blocking handle.
 //!
--- a/crates/client/tests/decisions.rs
+++ b/crates/client/tests/decisions.rs
@@ -394,7 +394,7 @@
     fn any_schedule_keeps_the_rules_on_retries_pauses_and_outcomes(steps in steps(), seed in any::<u64>()) {
         let groups = [1, 2, 1];
         let mut rig = CoreRig { core: Core::new(services(), dispatchers(&groups), seed), trace: Trace::default() };
-                let mut calls: Vec<(usize, Duration, Duration)> = Vec::new();
+        let mut calls: Vec<(usize, Duration, Duration)> = Vec::new();
         let mut abandoned = 0;
         let mut paused: BTreeMap<usize, Duration> = BTreeMap::new();
         // By the id of the first attempt: service, time and dispatcher of an attempt that may have run.
@@ -428,14 +428,17 @@
                     if answer == DispatcherAnswer::Errored {
                         record_run(&rig, call, &mut may_have_run);
                     }
-                    rig.trace.in_flight.retain(|(open_connection, open_number, ..)| (*open_connection, *open_number) != (connection, number));
+                    rig.trace.in_flight.retain(|(open_connection, open_number, ..)| {
+                        (*open_connection, *open_number) != (connection, number)
+                    });
                     rig.round(|round| round.on_answer(connection, number, answer));
                 }
                 Step::Lose { index, is_fully_sent } => {
                     let Some((&connection, _)) = rig.trace.connections.iter().nth(index) else { continue };
                     let reached = if is_fully_sent { Reached::Whole } else { Reached::NotWhole };
                     if is_fully_sent {
-                        let calls: Vec<_> = rig.trace.in_flight.iter().filter(|(open_connection, ..)| *open_connection == connection).map(|(.., call, _)| *call).collect();
+                        let on_connection = rig.trace.in_flight.iter().filter(|(id, ..)| *id == connection);
+                        let calls: Vec<_> = on_connection.map(|(.., call, _)| *call).collect();
                         calls.iter().for_each(|&call| record_run(&rig, call, &mut may_have_run));
                     }
                     rig.lose(connection, reached);
@@ -503,7 +506,8 @@
         rig.trace.finished.last().map(|(_, finished_call, outcome)| (*finished_call, *outcome)),
         Some((call, CallOutcome::Errored))
     );
-    // The clock goes back by 100 ms, which the core treats as standing still, then forward by a day, which ends the call once.
+    // The clock goes back by 100 ms, which the core treats as standing still, then forward by a day, which ends the call
+    // once.
     let call = rig.call(VIDEO, 5000);
     rig.trace.now -= ms(100);
     rig.establish_connections();
--- a/crates/control/src/zoning.rs
+++ b/crates/control/src/zoning.rs
@@ -39,7 +39,7 @@
             least_voters: told.min_voters,
             reports_every,
             hold: told.hold,
-            tries: told.max_return_attempts,
+            tries: told.max_reverted_steps,
             cold_share: start("start_capacity").unwrap_or(1.0),
             warm_within: Duration::from_secs_f64(start("warm_within_ms").unwrap_or(0.0) / 1e3),
         };
--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -3,13 +3,13 @@
 
 use super::front::{Got, How};
 use crate::stand::hosts::{Arrived, STEP};
-pub use myrtlegauge_model::recovery::{BIN, Bin, Recovery, recovery};
+pub use myrtlegauge_model::recovery::{BIN_WIDTH, Bin, Recovery, recovery};
 use std::time::Duration;
 
 pub fn bins(got: &[Got], long: Duration) -> Vec<Bin> {
-    let mut bins = vec![Bin::default(); long.div_duration_f64(BIN) as usize];
+    let mut bins = vec![Bin::default(); long.div_duration_f64(BIN_WIDTH) as usize];
     for got in got {
-        let Some(bin) = bins.get_mut(got.due.at.div_duration_f64(BIN) as usize) else { continue };
+        let Some(bin) = bins.get_mut(got.due.at.div_duration_f64(BIN_WIDTH) as usize) else { continue };
         bin.due += 1;
         match got.how {
             How::InTime => bin.in_time += 1,
@@ -23,8 +23,8 @@
 
 /// The most that a source was asked for in any half second, over what it bears in one; and at once.
 pub fn peak(steps: &[Arrived], bears: f64) -> (f64, usize) {
-    let each = (BIN.as_millis() / STEP.as_millis()) as usize;
+    let each = (BIN_WIDTH.as_millis() / STEP.as_millis()) as usize;
     let asked = steps.windows(each).map(|w| w.iter().map(|step| step.work).sum::<f64>());
-    let most = asked.fold(0.0, f64::max) / (bears * BIN.as_secs_f64());
+    let most = asked.fold(0.0, f64::max) / (bears * BIN_WIDTH.as_secs_f64());
     (most, steps.iter().map(|step| step.at_once).max().unwrap_or(0))
 }
--- a/crates/lab/src/fleet/plot.rs
+++ b/crates/lab/src/fleet/plot.rs
@@ -18,7 +18,7 @@
     let panels = all.split_evenly((3, 1));
     let (long, fault) = (scenario.duration.as_secs_f64(), scenario.fault_at.as_secs_f64());
     let bins = result.bins(scenario);
-    let at = |n: usize| n as f64 * judge::BIN.as_secs_f64();
+    let at = |n: usize| n as f64 * judge::BIN_WIDTH.as_secs_f64();
 
     let mut service = ChartBuilder::on(&panels[0])
         .caption("GETs returned in time, of those due in each half second", ("sans-serif", 16))
@@ -27,8 +27,10 @@
         .y_label_area_size(44)
         .build_cartesian_2d(0.0..long, 0.0..1.02)?;
     service.configure_mesh().x_desc("s").draw()?;
-    service
-        .draw_series(LineSeries::new(bins.iter().enumerate().map(|(n, bin)| (at(n), bin.share())), &BLUE))?;
+    service.draw_series(LineSeries::new(
+        bins.iter().enumerate().map(|(n, bin)| (at(n), bin.in_time_fraction())),
+        &BLUE,
+    ))?;
     let shed = |bin: &Bin| f64::from(bin.shed) / f64::from(bin.due.max(1));
     service.draw_series(LineSeries::new(bins.iter().enumerate().map(|(n, bin)| (at(n), shed(bin))), &RED))?;
     service.draw_series(LineSeries::new([(fault, 0.0), (fault, 1.02)], &BLACK))?;
--- a/crates/lab/src/fleet/zones.rs
+++ b/crates/lab/src/fleet/zones.rs
@@ -1,7 +1,7 @@
 //! Fleets over several zones: control services as processes, each dispatcher's own links to them, an observer of verdicts,
 //! and voters that report falsely.
 
-use super::judge::BIN;
+use super::judge::BIN_WIDTH;
 use super::{Defect, Scenario};
 use crate::stand::hosts::{Host, STEP};
 use crate::stand::link::Link;
@@ -181,17 +181,17 @@
 
 /// By zone and half second, the work asked of its caches over their capacity.
 pub fn loads(scenario: &Scenario, hosts: &[Arc<Host>], began: Instant) -> Vec<Vec<f64>> {
-    let each = BIN.div_duration_f64(STEP) as usize;
+    let each = BIN_WIDTH.div_duration_f64(STEP) as usize;
     let of = |zone: usize| {
         let caches = &hosts[scenario.caches_of(zone)];
         let arrived: Vec<_> = caches.iter().map(|cache| cache.arrived(began)).collect();
         let bin = |n: usize| {
-            let at = began + BIN * n as u32 + BIN / 2;
+            let at = began + BIN_WIDTH * n as u32 + BIN_WIDTH / 2;
             let bears: f64 = caches.iter().map(|cache| cache.bears_at(at)).sum();
             let steps = arrived.iter().flat_map(|steps| steps.iter().skip(n * each).take(each));
-            steps.map(|step| step.work).sum::<f64>() / (bears * BIN.as_secs_f64())
+            steps.map(|step| step.work).sum::<f64>() / (bears * BIN_WIDTH.as_secs_f64())
         };
-        (0..scenario.duration.div_duration_f64(BIN) as usize).map(bin).collect()
+        (0..scenario.duration.div_duration_f64(BIN_WIDTH) as usize).map(bin).collect()
     };
     (0..scenario.zones).map(of).collect()
 }
--- a/crates/lab/src/leave.rs
+++ b/crates/lab/src/leave.rs
@@ -328,7 +328,7 @@
         if result.caches_overloaded > 0 {
             breaks.push(format!("{} cold caches were pushed over", result.caches_overloaded));
         }
-        let after = (scenario.fault_at.div_duration_f64(judge::BIN) as usize) + 1;
+        let after = (scenario.fault_at.div_duration_f64(judge::BIN_WIDTH) as usize) + 1;
         let most = result.zone_loads[1][after..].iter().copied().fold(0.0, f64::max);
         if most > 1.0 {
             breaks.push(format!("a returning zone was asked for {most:.2} times what it bears"));
@@ -400,7 +400,7 @@
         }
         if plan.steps {
             for (n, bin) in result.bins(&scenario).iter().enumerate() {
-                let (from, until) = (judge::BIN * n as u32, judge::BIN * (n as u32 + 1));
+                let (from, until) = (judge::BIN_WIDTH * n as u32, judge::BIN_WIDTH * (n as u32 + 1));
                 let sent = |zone: &Vec<Vec<Duration>>| {
                     zone.iter().flatten().filter(|&&at| at >= from && at < until).count()
                 };
@@ -409,7 +409,7 @@
                     "{:>5.1} s  due {:>4} in time {:>3.0}% late {:>3} shed {:>3} errored {:>3}  sent to zones {sent:?}",
                     n as f64 * 0.5,
                     bin.due,
-                    bin.share() * 100.0,
+                    bin.in_time_fraction() * 100.0,
                     bin.late,
                     bin.shed,
                     bin.errored
@@ -443,7 +443,7 @@
     let parents =
         result.parent_loads.iter().map(|steps| judge::peak(&after(steps), result.parent_capacity).0);
     let parents = parents.fold(0.0, f64::max);
-    let worst = result.recovery(scenario).worst;
+    let worst = result.recovery(scenario).worst_fraction;
     println!(
         "{:<15} {:>10} {:>9} {:>6} {:>14} {:>7.1}% {:>5.1}% {:>5.0}% {:>5} {:>5.0}% {parents:>8.2} {origin:>7.2}",
         format!("{case:?}"),
--- a/crates/lab/src/recovery.rs
+++ b/crates/lab/src/recovery.rs
@@ -214,8 +214,8 @@
         if recovery.full_after.is_none_or(|full| full > WARM_WITHIN) {
             breaks.push(format!("full service after {:?} with warm caches", recovery.full_after));
         }
-        if recovery.falls > 0 {
-            breaks.push(format!("{} falls after full service", recovery.falls));
+        if recovery.relapses > 0 {
+            breaks.push(format!("{} falls after full service", recovery.relapses));
         }
     }
     if matches!(case, Case::Warm | Case::Cold | Case::Again | Case::Hup) && spare >= 50 && peak > PEAK {
@@ -248,9 +248,9 @@
     let tries: u32 = result.outcomes.iter().map(|got| got.tries).sum();
     let spread = result.retry_after_spread();
     let (full, own) = (recovery.full_after, result.logged_full_service_ms());
-    json!({"case": format!("{case:?}"), "killed": killed, "spare": spare, "before": recovery.before,
+    json!({"case": format!("{case:?}"), "killed": killed, "spare": spare, "before": recovery.fraction_before,
         "full_after_ms": full.map(|full| full.as_millis() as u64), "lost": recovery.lost, "bound": bound,
-        "worst": recovery.worst, "falls": recovery.falls, "origin_peak": (peak * 100.0).round() / 100.0,
+        "worst": recovery.worst_fraction, "falls": recovery.relapses, "origin_peak": (peak * 100.0).round() / 100.0,
         "origin_at_once": at_once, "shed": sheds.len(), "shed_though_held": held, "tries": tries,
         "backs_spread_ms": spread.as_millis() as u64, "caches_fell": result.caches_overloaded,
         "effects": result.effects, "own_full_ms": own, "lag_ms": result.lag.as_millis() as u64})
@@ -267,7 +267,7 @@
             "{:>5.1} s  due {:>4} in time {:>3.0}% late {:>3} shed {:>3} errored {:>3}  origin asked {:>4.0}%, {} at once, {again} again",
             n as f64 * 0.5,
             bin.due,
-            bin.share() * 100.0,
+            bin.in_time_fraction() * 100.0,
             bin.late,
             bin.shed,
             bin.errored,
--- a/crates/model/src/engine/event.rs
+++ b/crates/model/src/engine/event.rs
@@ -4,8 +4,8 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Names an attempt.
-pub(super) type Serial = u64;
+/// Identifies an attempt.
+pub(super) type AttemptId = u64;
 
 /// Something that happens at a time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -13,29 +13,29 @@
     /// A client of a location sends a request.
     RequestSent(usize),
     /// An attempt arrives at its host.
-    AttemptArrived(Serial),
+    AttemptArrived(AttemptId),
     /// A fill arrives at its source.
-    FillArrived(Serial),
-    /// A parent has sent what a fill asked for.
-    FillCompleted(Serial),
+    FillArrived(AttemptId),
+    /// A parent has sent the object of a fill.
+    FillCompleted(AttemptId),
     /// The origin has finished a fill, and a slot is free again.
-    OriginFinished(Serial),
-    /// A transfer of a host's process ended.
+    OriginFinished(AttemptId),
+    /// A transfer ended, started in this incarnation of the host.
     TransferEnded {
         host: usize,
-        process: u32,
-        serial: Serial,
+        incarnation: u32,
+        attempt_id: AttemptId,
     },
     /// The dispatcher learns how an attempt ended.
-    OutcomeReceived(Serial),
-    AttemptTimedOut(Serial),
-    /// A client waits no longer.
+    OutcomeReceived(AttemptId),
+    AttemptTimedOut(AttemptId),
+    /// A client has given up waiting.
     ClientGaveUp(u64),
     /// A dispatcher's timer expired.
     TimerExpired(usize),
     FaultStarted(usize),
     FaultEnded(usize),
-    /// A draining host is gone.
+    /// A draining host is removed.
     HostGone(usize),
 }
 
@@ -59,7 +59,7 @@
         self.heap.pop().map(|Reverse((at, _, event))| (at, event))
     }
 
-    /// A number that neither an event nor an attempt has yet.
+    /// A number that no event and no attempt has yet.
     pub(super) fn next_number(&mut self) -> u64 {
         self.count += 1;
         self.count
--- a/crates/model/src/engine/figures.rs
+++ b/crates/model/src/engine/figures.rs
@@ -1,12 +1,12 @@
-//! The result of a run as figures.
+//! The results of a run.
 
-use crate::recovery::{BIN, Bin, Recovery, recovery};
+use crate::recovery::{BIN_WIDTH, Bin, Recovery, recovery};
 use crate::world::World;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Parts of a half second in which the origin's load is counted.
+/// Steps per bin in which the load of the origin is counted.
 const LOAD_STEPS_PER_BIN: u32 = 5;
 /// Significant digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 3;
@@ -14,7 +14,7 @@
 /// Counts of a run.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    pub taken: u64,
+    pub gets: u64,
     pub returned: u64,
     pub in_time: u64,
     pub shed: u64,
@@ -24,21 +24,21 @@
     pub origin_fills: u64,
     pub forwards: u64,
     pub events: u64,
-    /// Microseconds until an answer.
-    pub latency: Histogram<u64>,
-    /// Broken rules, by name.
-    pub broken: BTreeMap<&'static str, u64>,
-    pub first_breaks: Vec<String>,
+    /// Time until an answer.
+    pub latency_us: Histogram<u64>,
+    /// Number of violations by rule.
+    pub violations: BTreeMap<&'static str, u64>,
+    pub first_violations: Vec<String>,
     /// Recovery from the first fault.
     pub recovery: Recovery,
-    /// The most that the origin was asked for in half a second after the first fault, over its capacity.
+    /// Maximum number of fills that reached the origin in half a second after the first fault, relative to its capacity.
     pub origin_peak: f64,
 }
 
 impl Figures {
     pub(super) fn new() -> Result<Self, String> {
         Ok(Self {
-            taken: 0,
+            gets: 0,
             returned: 0,
             in_time: 0,
             shed: 0,
@@ -48,21 +48,21 @@
             origin_fills: 0,
             forwards: 0,
             events: 0,
-            latency: Histogram::new(LATENCY_DIGITS).map_err(|e| e.to_string())?,
-            broken: BTreeMap::new(),
-            first_breaks: Vec::new(),
+            latency_us: Histogram::new(LATENCY_DIGITS).map_err(|error| error.to_string())?,
+            violations: BTreeMap::new(),
+            first_violations: Vec::new(),
             recovery: Recovery::default(),
             origin_peak: 0.0,
         })
     }
 
-    /// Share of requests answered within their objectives.
-    pub fn share_in_time(&self) -> f64 {
-        self.in_time as f64 / self.taken.max(1) as f64
+    /// Fraction of requests answered within their objectives.
+    pub fn in_time_fraction(&self) -> f64 {
+        self.in_time as f64 / self.gets.max(1) as f64
     }
 }
 
-/// Service and the origin's load over the time of a run.
+/// Outcomes of requests and the load of the origin over the time of a run.
 pub(super) struct TimeSeries {
     start: Duration,
     bins: Vec<Bin>,
@@ -70,17 +70,21 @@
 }
 
 impl TimeSeries {
-    pub(super) fn new(start: Duration, long: Duration) -> Self {
-        let steps = |step: Duration| long.div_duration_f64(step).ceil() as usize;
-        Self { start, bins: vec![Bin::default(); steps(BIN)], origin_fills: vec![0; steps(load_step())] }
+    pub(super) fn new(start: Duration, duration: Duration) -> Self {
+        let steps = |step: Duration| duration.div_duration_f64(step).ceil() as usize;
+        Self {
+            start,
+            bins: vec![Bin::default(); steps(BIN_WIDTH)],
+            origin_fills: vec![0; steps(load_step())],
+        }
     }
 
     /// The bin of a time; none after the end of the run.
     pub(super) fn bin(&mut self, at: Duration) -> Option<&mut Bin> {
-        self.bins.get_mut(at.saturating_sub(self.start).div_duration_f64(BIN) as usize)
+        self.bins.get_mut(at.saturating_sub(self.start).div_duration_f64(BIN_WIDTH) as usize)
     }
 
-    /// Counts a fill that came to the origin.
+    /// Counts a fill that arrived at the origin.
     pub(super) fn count_origin_fill(&mut self, at: Duration) {
         let step = (at - self.start).div_duration_f64(load_step()) as usize;
         if let Some(count) = self.origin_fills.get_mut(step) {
@@ -93,17 +97,17 @@
         recovery(&self.bins, fault)
     }
 
-    /// The most fills of the origin in half a second after a fault, over its capacity.
+    /// Maximum number of fills that reached the origin in half a second after a fault, relative to its capacity.
     pub(super) fn origin_peak(&self, fault: Duration, world: &World) -> f64 {
         let first = fault.div_duration_f64(load_step()) as usize;
         let after = &self.origin_fills[first.min(self.origin_fills.len())..];
         let windows = after.windows(LOAD_STEPS_PER_BIN as usize);
-        let most = windows.map(|window| window.iter().sum::<u32>()).max().unwrap_or(0);
-        let capacity = world.origin_slots as f64 * BIN.div_duration_f64(world.origin_wait);
-        f64::from(most) / capacity
+        let max_fills = windows.map(|window| window.iter().sum::<u32>()).max().unwrap_or(0);
+        let capacity = world.origin_slots as f64 * BIN_WIDTH.div_duration_f64(world.origin_fill_time);
+        f64::from(max_fills) / capacity
     }
 }
 
 fn load_step() -> Duration {
-    BIN / LOAD_STEPS_PER_BIN
+    BIN_WIDTH / LOAD_STEPS_PER_BIN
 }
--- a/crates/model/src/engine/mod.rs
+++ b/crates/model/src/engine/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::oracle::Oracle;
 use crate::world::{Policy, World};
-use event::{Event, EventQueue, Serial};
+use event::{AttemptId, Event, EventQueue};
 use figures::TimeSeries;
 use myrtlegauge::decide::Router;
 use myrtlegauge::interface::{End, Forward, HostStatus, Note, hash_host_id};
@@ -24,19 +24,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Objects are purged by this many groups.
-const GROUPS: u64 = 64;
-/// Every object has one part.
-const PART: u32 = 0;
+/// Number of groups by which objects are purged.
+const PURGE_GROUPS: u64 = 64;
+/// Every object has one chunk.
+const CHUNK: u32 = 0;
 /// Points of each host on the rings of the baselines.
 const RING_POINTS: u64 = 96;
-/// Time at the start of a run: late enough for spans before it.
-const START: Duration = Duration::from_secs(3600);
+/// Time at the start of a run. It is late enough to subtract durations from it.
+const START_TIME: Duration = Duration::from_secs(3600);
 
 /// Simulates a world with a seed.
 ///
 /// # Errors
-/// A world whose sizes make no sense, or settings that the decision module does not take.
+/// The sizes of the world make no sense, or the decision module rejects its settings.
 pub fn play(world: &World, seed: u64) -> Result<Figures, String> {
     world.check()?;
     let mut engine = Engine::new(world, seed)?;
@@ -46,7 +46,7 @@
         figures.recovery = series.recovery(first);
         figures.origin_peak = series.origin_peak(first, world);
     }
-    (figures.broken, figures.first_breaks) = (oracle.broken, oracle.first);
+    (figures.violations, figures.first_violations) = (oracle.violations, oracle.first_violations);
     Ok(figures)
 }
 
@@ -55,61 +55,62 @@
     world: &'a World,
     events: EventQueue,
     now: Duration,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
     hosts: Vec<Host>,
     origin: Origin,
     /// Factor on the rate of requests.
-    burst: f64,
+    rate_factor: f64,
     dispatchers: Vec<Dispatcher>,
-    /// The dispatchers of each location that live, in order.
-    live: Vec<Vec<usize>>,
+    /// The running dispatchers of each location, in order.
+    live_dispatchers: Vec<Vec<usize>>,
     /// Rings of the baselines, by location.
     cache_rings: Vec<Tier>,
     parent_ring: Tier,
     /// When each group was last purged.
-    purged: BTreeMap<u64, Duration>,
-    attempts: BTreeMap<Serial, Attempt>,
+    purged_at: BTreeMap<u64, Duration>,
+    attempts: BTreeMap<AttemptId, Attempt>,
     requests: BTreeMap<u64, Request>,
-    /// Hosts or dispatchers that each fault hit.
+    /// Hosts or dispatchers that each fault affects.
     affected: Vec<Vec<usize>>,
     oracle: Oracle,
     figures: Figures,
     series: TimeSeries,
-    /// When the informed bound sent fills that are still on their way to the origin.
-    fills_on_the_way: VecDeque<Duration>,
+    /// When the informed bound sent the fills that have not reached the origin yet.
+    fills_in_transit: VecDeque<Duration>,
 }
 
 impl<'a> Engine<'a> {
     fn new(world: &'a World, seed: u64) -> Result<Self, String> {
-        let mut random = fastrand::Rng::with_seed(seed);
-        let dispatchers = start_dispatchers(world, &mut random)?;
-        let host = || Host { up: true, standing: HostStatus::Active, ..Host::default() };
-        let of_location = |location: usize, each: usize| location * each..(location + 1) * each;
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let dispatchers = start_dispatchers(world, &mut rng)?;
+        let host = || Host { is_up: true, status: HostStatus::Active, ..Host::default() };
+        let indices_of_location =
+            |location: usize, per_location: usize| location * per_location..(location + 1) * per_location;
         let ring = |hosts: std::ops::Range<usize>| Tier::build(hosts.map(ring_share).collect());
         let mut engine = Self {
             world,
             events: EventQueue::default(),
-            now: START,
-            random,
+            now: START_TIME,
+            rng,
             hosts: (0..world.hosts()).map(|_| host()).collect(),
             origin: Origin::default(),
-            burst: 1.0,
+            rate_factor: 1.0,
             dispatchers,
-            live: (0..world.locations)
-                .map(|location| of_location(location, world.dispatchers).collect())
+            live_dispatchers: (0..world.locations)
+                .map(|location| indices_of_location(location, world.dispatchers).collect())
                 .collect(),
             cache_rings: (0..world.locations)
-                .map(|location| ring(of_location(location, world.caches)))
+                .map(|location| ring(indices_of_location(location, world.caches)))
                 .collect(),
             parent_ring: ring(world.first_parent()..world.origin()),
-            purged: BTreeMap::new(),
+            purged_at: BTreeMap::new(),
             attempts: BTreeMap::new(),
             requests: BTreeMap::new(),
             affected: vec![Vec::new(); world.faults.len()],
             oracle: Oracle::default(),
             figures: Figures::new()?,
-            series: TimeSeries::new(START, world.long),
-            fills_on_the_way: VecDeque::new(),
+            series: TimeSeries::new(START_TIME, world.duration),
+            fills_in_transit: VecDeque::new(),
         };
         engine.announce_hosts(None);
         engine.push_first_events();
@@ -118,17 +119,17 @@
 
     fn push_first_events(&mut self) {
         for location in 0..self.world.locations {
-            self.events.push(START, Event::RequestSent(location));
+            self.events.push(START_TIME, Event::RequestSent(location));
         }
         for (index, fault) in self.world.faults.iter().enumerate() {
-            self.events.push(START + fault.at, Event::FaultStarted(index));
-            self.events.push(START + fault.at + fault.duration, Event::FaultEnded(index));
+            self.events.push(START_TIME + fault.at, Event::FaultStarted(index));
+            self.events.push(START_TIME + fault.at + fault.duration, Event::FaultEnded(index));
         }
     }
 
-    /// Handles all events. Requests of before the end still get their answers after it.
+    /// Handles all events. Requests sent before the end of the run get their answers after it.
     fn run(&mut self) {
-        let end = START + self.world.long;
+        let end = START_TIME + self.world.duration;
         let last_answer =
             self.world.services.iter().map(|service| service.timeout).max().unwrap_or_default() * 2;
         while let Some((at, event)) = self.events.pop() {
@@ -142,46 +143,50 @@
                 event => self.handle(event),
             }
         }
-        let unanswered = self.requests.values().filter(|request| !request.answered).count() as u64;
-        self.oracle.close(unanswered, self.now);
+        let unanswered = self.requests.values().filter(|request| !request.is_answered).count() as u64;
+        self.oracle.finish(unanswered, self.now);
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::RequestSent(location) => self.send_request(location),
-            Event::AttemptArrived(serial) => self.attempt_arrived(serial),
-            Event::FillArrived(serial) => self.fill_arrived(serial),
-            Event::FillCompleted(serial) => self.fill_completed(serial),
-            Event::OriginFinished(serial) => self.origin_finished(serial),
-            Event::TransferEnded { host, process, serial } => self.transfer_ended(host, process, serial),
-            Event::OutcomeReceived(serial) => self.outcome_received(serial),
-            Event::AttemptTimedOut(serial) => self.end_attempt(serial, End::TimedOut, Note::Untold, false),
+            Event::AttemptArrived(attempt_id) => self.attempt_arrived(attempt_id),
+            Event::FillArrived(attempt_id) => self.fill_arrived(attempt_id),
+            Event::FillCompleted(attempt_id) => self.fill_completed(attempt_id),
+            Event::OriginFinished(attempt_id) => self.origin_finished(attempt_id),
+            Event::TransferEnded { host, incarnation, attempt_id } => {
+                self.transfer_ended(host, incarnation, attempt_id)
+            }
+            Event::OutcomeReceived(attempt_id) => self.outcome_received(attempt_id),
+            Event::AttemptTimedOut(attempt_id) => {
+                self.end_attempt(attempt_id, End::TimedOut, Note::Untold, false)
+            }
             Event::ClientGaveUp(request) => self.client_gave_up(request),
             Event::TimerExpired(dispatcher) => self.round(dispatcher, |round| round.on_wakeup()),
             Event::FaultStarted(fault) => self.start_fault(fault),
             Event::FaultEnded(fault) => self.end_fault(fault),
             Event::HostGone(host) => {
-                self.hosts[host].standing = HostStatus::Removed;
+                self.hosts[host].status = HostStatus::Removed;
                 self.announce_hosts(Some(host));
             }
         }
     }
 
-    /// Copies born before this are gone from every store by now.
+    /// Copies created before this time are no longer in any store.
     fn purged_before(&self, object: u64) -> Duration {
-        let at = self.purged.get(&(object % GROUPS)).copied();
-        at.filter(|&at| self.now >= at + hosts::PURGED_WITHIN).unwrap_or_default()
+        let purged_at = self.purged_at.get(&(object % PURGE_GROUPS)).copied();
+        purged_at.filter(|&at| self.now >= at + hosts::PURGED_WITHIN).unwrap_or_default()
     }
 }
 
 /// The dispatchers of all locations at the start.
-fn start_dispatchers(world: &World, random: &mut fastrand::Rng) -> Result<Vec<Dispatcher>, String> {
+fn start_dispatchers(world: &World, rng: &mut fastrand::Rng) -> Result<Vec<Dispatcher>, String> {
     let mut dispatchers = Vec::new();
     for location in 0..world.locations {
         let settings = world.settings(location);
         for _ in 0..world.dispatchers {
             let router = match world.policy {
-                Policy::Module => Some(Router::new(&settings, random.u64(..))?),
+                Policy::Module => Some(Router::new(&settings, rng.u64(..))?),
                 Policy::Hashing | Policy::Random | Policy::Informed => None,
             };
             dispatchers.push(Dispatcher { router, ..Dispatcher::default() });
@@ -190,11 +195,11 @@
     Ok(dispatchers)
 }
 
-/// A host's share of a baseline's ring.
+/// The entry of a host on the ring of a baseline.
 fn ring_share(host: usize) -> HostShare {
     HostShare {
         host,
-        id_hash: host_mark(host),
+        id_hash: host_id_hash(host),
         points: RING_POINTS,
         key_fraction: 1.0,
         is_near: true,
@@ -202,16 +207,16 @@
     }
 }
 
-/// The mark by which rings place a host.
-fn host_mark(host: usize) -> u64 {
+/// The hash that determines the position of a host on a ring.
+fn host_id_hash(host: usize) -> u64 {
     hash_host_id(&format!("host-{host}"))
 }
 
-/// The oldest copy that may be returned: as the attempt says, else the freshness lifetime of the service, or any age where
-/// it has none.
-fn max_age(to: &Forward, fresh: Duration) -> Duration {
-    match (to.accepted_age.is_zero(), fresh.is_zero()) {
-        (false, _) => to.accepted_age,
+/// Maximum age of a copy that may be returned: the accepted age of the attempt, else the freshness lifetime of the service,
+/// else any age.
+fn max_age(forward: &Forward, fresh: Duration) -> Duration {
+    match (forward.accepted_age.is_zero(), fresh.is_zero()) {
+        (false, _) => forward.accepted_age,
         (true, false) => fresh,
         (true, true) => Duration::MAX,
     }
--- a/crates/model/src/engine/state.rs
+++ b/crates/model/src/engine/state.rs
@@ -1,6 +1,6 @@
 //! The state of hosts, dispatchers, requests and attempts.
 
-use super::event::Serial;
+use super::event::AttemptId;
 use super::store::Store;
 use myrtlegauge::decide::Router;
 use myrtlegauge::interface::{DecisionSink, End, Forward, GetIndex, HostStatus, Note};
@@ -10,73 +10,72 @@
 /// A cache, a parent or the origin.
 #[derive(Default)]
 pub(super) struct Host {
-    pub up: bool,
-    pub silent: bool,
-    pub slow: bool,
-    pub standing: HostStatus,
-    pub started: Duration,
-    /// Number of its process.
-    pub process: u32,
-    /// Transfers that run.
-    pub busy: usize,
-    /// Attempts that wait for a transfer.
-    pub queue: VecDeque<Serial>,
+    pub is_up: bool,
+    pub is_silent: bool,
+    pub is_slow: bool,
+    pub status: HostStatus,
+    pub started_at: Duration,
+    /// Incremented when its process ends.
+    pub incarnation: u32,
+    /// Running transfers.
+    pub running: usize,
+    /// Attempts that wait for a slot.
+    pub queue: VecDeque<AttemptId>,
     pub store: Store,
 }
 
 /// The origin's load.
 #[derive(Default)]
 pub(super) struct Origin {
-    /// Fills that run.
-    pub busy: usize,
-    /// Fills that wait.
-    pub queue: VecDeque<Serial>,
-    pub slow: bool,
+    /// Running fills.
+    pub running: usize,
+    /// Fills that wait for a slot.
+    pub queue: VecDeque<AttemptId>,
+    pub is_slow: bool,
 }
 
 /// One attempt of a dispatcher at a request.
 pub(super) struct Attempt {
     pub request: u64,
     pub dispatcher: usize,
-    /// Process of the dispatcher that sent it.
-    pub process: u32,
-    pub place: GetIndex,
-    pub hop: u32,
-    pub to: Forward,
+    /// Incarnation of the dispatcher that sent it.
+    pub incarnation: u32,
+    pub get_index: GetIndex,
+    pub attempt_number: u32,
+    pub forward: Forward,
     pub sent_at: Duration,
     pub end: Option<End>,
     pub note: Note,
-    /// Wait of a fill for its source.
+    /// Time that a fill waited for its source.
     pub source_wait: Duration,
-    /// Birth of the copy that is sent.
-    pub born: Duration,
-    /// The dispatcher knows the end.
-    pub reported: bool,
+    /// Creation time of the copy that is sent.
+    pub created_at: Duration,
+    /// The dispatcher has received the outcome.
+    pub is_reported: bool,
 }
 
 /// A client's request.
 pub(super) struct Request {
     pub service: usize,
     pub object: u64,
-    /// Kilobytes.
-    pub size: f64,
+    pub size_kb: f64,
     pub sent_at: Duration,
-    pub answered: bool,
-    pub given_up: bool,
+    pub is_answered: bool,
+    pub is_given_up: bool,
     pub dispatcher: usize,
-    pub place: GetIndex,
+    pub get_index: GetIndex,
 }
 
-/// What the decision module decided, in order.
+/// A decision of the decision module.
 pub(super) enum Decision {
     Forward(GetIndex, Forward),
     Shed(GetIndex),
     Error(GetIndex),
-    Settled(GetIndex),
-    Wake(Duration),
+    Released(GetIndex),
+    ScheduleWakeup(Duration),
 }
 
-/// Collects the decisions of a round.
+/// Collects the decisions of a round, in order.
 #[derive(Default)]
 pub(super) struct Decisions(pub Vec<Decision>);
 
@@ -92,26 +91,26 @@
         self.0.push(Decision::Error(get));
     }
     fn release(&mut self, get: GetIndex) {
-        self.0.push(Decision::Settled(get));
+        self.0.push(Decision::Released(get));
     }
     fn schedule_wakeup(&mut self, after: Duration) {
-        self.0.push(Decision::Wake(after));
+        self.0.push(Decision::ScheduleWakeup(after));
     }
     fn subscribe_host_list(&mut self) {}
     fn log(&mut self, _: std::fmt::Arguments<'_>) {}
 }
 
-/// A dispatcher; its decision module is there only under the module's policy and while it lives.
+/// A dispatcher. It has a decision module only under the policy `Module` and while its process runs.
 #[derive(Default)]
 pub(super) struct Dispatcher {
-    /// Number of its process.
-    pub process: u32,
+    /// Incremented when its process ends.
+    pub incarnation: u32,
     pub router: Option<Router>,
     pub decisions: Decisions,
-    /// Requests by their places.
+    /// Requests by their GET indices.
     pub requests: Vec<Option<u64>>,
-    /// Attempts sent for each place.
-    pub hops: Vec<u32>,
-    /// The attempt that is out for each place.
-    pub out: BTreeMap<GetIndex, Serial>,
+    /// Number of attempts sent for each GET.
+    pub attempts_sent: Vec<u32>,
+    /// The attempt in flight for each GET.
+    pub in_flight: BTreeMap<GetIndex, AttemptId>,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,10 +1,11 @@
-//! A discrete-event model of what the dispatchers balance: locations with caches and dispatchers, a hub with parents, an
-//! origin, links, clients. It runs the decision module itself at sizes that sockets don't reach, with faults as a script,
-//! an oracle apart from the module that checks the rules on every event, and baselines to stand beside it.
+//! A discrete-event model of the system that the dispatchers balance: locations with caches and dispatchers, a hub with
+//! parents, an origin, links and clients. It runs the decision module itself at sizes that are out of reach with sockets,
+//! with scripted faults, an oracle that checks the rules on every event independently of the module, and baselines for
+//! comparison.
 //!
-//! `recovery` tells the time to full service from served GETs; the proofs on sockets judge by it too.
-//! `world` is what is modelled and its script, `engine` plays it, `oracle` checks, `experiment` reads a file, plays it over
-//! seeds and tells means with their confidence.
+//! `recovery` computes the time to full service from the outcomes of GETs; the proofs on sockets use it too.
+//! `world` defines the modelled system and its faults, `engine` simulates it, `oracle` checks the rules, and `experiment`
+//! reads a file, runs it over several seeds and reports means with their confidence intervals.
 
 pub mod engine;
 pub mod experiment;
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,9 +1,9 @@
-//! What is modelled, and what happens to it.
+//! The modelled system and its scripted faults.
 
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// A delivery service and how it is asked for.
+/// A delivery service and its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     pub name: String,
@@ -11,11 +11,11 @@
     pub timeout: Duration,
     pub fresh: Duration,
     pub grace: Duration,
-    /// A second run does harm; it is passed on to the origin.
-    pub non_idempotent: bool,
-    /// Part of all GETs.
-    pub share: f64,
-    /// Mean kilobytes of an object.
+    /// A second run does harm. Requests are passed on to the origin.
+    pub is_non_idempotent: bool,
+    /// Fraction of all GETs.
+    pub request_fraction: f64,
+    /// Mean size of an object.
     pub size_kb: f64,
     pub objects: u64,
 }
@@ -29,8 +29,8 @@
     /// nor limits.
     Hashing,
     Random,
-    /// An informed bound to compare with. It knows which hosts live, which copies they hold and the length of the origin's
-    /// queue, and asks the origin only for what comes in time.
+    /// An informed bound for comparison. It knows which hosts are up, which copies they hold and the length of the queue of
+    /// the origin, and sends to the origin only what is answered in time.
     Informed,
 }
 
@@ -45,19 +45,19 @@
         }
     }
 
-    /// The policy of this name.
-    pub fn of(name: &str) -> Option<Self> {
+    /// The policy with this name.
+    pub fn from_name(name: &str) -> Option<Self> {
         [Policy::Module, Policy::Hashing, Policy::Random, Policy::Informed]
             .into_iter()
             .find(|policy| policy.name() == name)
     }
 }
 
-/// A fault of the script.
+/// A scripted fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     pub at: Duration,
-    /// How long it lasts; a host that died comes back cold.
+    /// Duration of the fault. A host that was killed comes back cold.
     pub duration: Duration,
     pub kind: FaultKind,
 }
@@ -65,88 +65,102 @@
 /// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// So many caches, drawn by the seed, die; connections to them are refused.
+    /// This many caches, drawn with the seed, are killed. Connections to them are refused.
     CachesDie(usize),
-    /// They say nothing more; nothing is refused either.
+    /// The caches send nothing more and refuse nothing.
     CachesSilent(usize),
-    /// They take five times as long.
+    /// The caches take five times as long.
     CachesSlow(usize),
-    /// They drain, and are gone half a second before the end of it.
+    /// The caches drain, and are removed half a second before the end of the fault.
     CachesDrain(usize),
     ParentsDie(usize),
-    /// So many in a hundred dispatchers of each location are killed; clients move to the others, and what the killed ones
-    /// had asked for runs on. They come back knowing the list and the purges, and nothing else.
+    /// This percentage of the dispatchers of each location is killed. Clients move to the others, and requests that the
+    /// killed ones had sent run on. The dispatchers come back with the host list and the purges and no other state.
     DispatchersDie(u32),
-    /// So many in a hundred caches and parents lose what they hold.
+    /// This percentage of the caches and parents loses its copies.
     StoresLost(u32),
     /// The origin takes ten times as long.
     OriginSlow,
     /// Every group of objects is purged.
     PurgeAll,
-    /// So many times as much is asked, in percent of what it was.
+    /// The rate of requests changes to this percentage of the normal rate.
     Burst(u32),
 }
 
+/// The sizes, rates and faults of a simulation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct World {
     pub locations: usize,
     pub caches: usize,
     pub dispatchers: usize,
     pub parents: usize,
-    /// GETs a second of each location.
-    pub rate: f64,
+    /// GETs per second of each location.
+    pub requests_per_s: f64,
     pub services: Vec<Service>,
-    /// Transfers that a cache serves at full pace, and kilobytes a second of one.
+    /// Concurrent transfers of a cache, and the rate of one.
     pub slots: usize,
-    pub pace_kb: f64,
-    /// Kilobytes that a cache and a parent hold.
-    pub store_kb: f64,
+    pub transfer_kb_per_s: f64,
+    /// Capacity of the store of a cache and of a parent.
+    pub cache_store_kb: f64,
     pub parent_store_kb: f64,
-    /// Fills at once that the origin serves at full pace, and its wait.
+    /// Concurrent fills of the origin, and the time of one.
     pub origin_slots: usize,
-    pub origin_wait: Duration,
-    /// Between dispatchers and caches, and from there to the hub, one way.
-    pub way: Duration,
-    pub hub_way: Duration,
+    pub origin_fill_time: Duration,
+    /// One-way latency between dispatchers and caches, and from there to the hub.
+    pub cache_latency: Duration,
+    pub hub_latency: Duration,
     pub drain_grace: Duration,
     pub purge_grace: Duration,
-    /// Part of its work that a cold cache bears, and until it bears all.
-    pub cold_share: f64,
-    pub warm_within: Duration,
-    pub long: Duration,
+    /// Fraction of its capacity that a cold cache has, and the time until it has all of it.
+    pub cold_fraction: f64,
+    pub warmup_time: Duration,
+    pub duration: Duration,
     pub faults: Vec<Fault>,
-    /// Who routes requests.
+    /// The policy that routes requests.
     pub policy: Policy,
 }
 
-fn ms(span: Duration) -> f64 {
-    span.as_secs_f64() * 1e3
+fn milliseconds(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
 }
 
 impl World {
-    /// Sound sizes, or what is wrong with them.
+    /// Checks that the sizes make sense.
+    ///
+    /// # Errors
+    /// A size or rate that makes no sense.
     pub fn check(&self) -> Result<(), String> {
-        let share: f64 = self.services.iter().map(|service| service.share).sum();
+        let fractions: f64 = self.services.iter().map(|service| service.request_fraction).sum();
         let counts =
             [self.locations, self.caches, self.dispatchers, self.parents, self.slots, self.origin_slots];
         if counts.contains(&0) {
-            return Err("a world needs at least one of everything".into());
+            return Err("a size of the world is zero: locations, caches, dispatchers, parents, slots and \
+                origin-slots must be above zero"
+                .into());
         }
-        if self.services.is_empty() || (share - 1.0).abs() > 0.01 {
-            return Err(format!("the shares of the services make {share:.2}, not 1"));
+        if self.services.is_empty() || (fractions - 1.0).abs() > 0.01 {
+            return Err(format!(
+                "the shares of the services add up to {fractions:.2}: change them to add up to 1"
+            ));
         }
-        if self.rate <= 0.0 || self.long.is_zero() || self.services.iter().any(|service| service.objects == 0)
+        if self.requests_per_s <= 0.0
+            || self.duration.is_zero()
+            || self.services.iter().any(|service| service.objects == 0)
         {
-            return Err("nothing is asked for".into());
+            return Err(
+                "the world has no requests: rate, long and the objects of each service must be above zero"
+                    .into(),
+            );
         }
         Ok(())
     }
 
-    /// Caches of all locations, parents and the origin, in the order of their indices.
+    /// The number of hosts. Their indices are those of the caches of all locations, then the parents, then the origin.
     pub fn hosts(&self) -> usize {
         self.locations * self.caches + self.parents + 1
     }
 
+    /// The index of the origin.
     pub fn origin(&self) -> usize {
         self.hosts() - 1
     }
@@ -170,24 +184,26 @@
         let zones: Vec<String> = (0..=self.locations).map(|zone| format!("zone-{zone}")).collect();
         let counts: Vec<usize> =
             (0..=self.locations).map(|zone| if zone == 0 { 0 } else { self.dispatchers }).collect();
-        let class = |service: &Service| {
-            json!({"name": service.name, "aim_ms": ms(service.objective), "aim_stretch": 1.0, "group": "cell",
-                "deadline_ms": ms(service.timeout), "key_ttl_ms": 0.0,
-                "effect": if service.non_idempotent { "at_most_once" } else { "idempotent" }})
+        let service_settings = |service: &Service| {
+            json!({"name": service.name, "aim_ms": milliseconds(service.objective), "aim_stretch": 1.0, "group": "cell",
+                "deadline_ms": milliseconds(service.timeout), "key_ttl_ms": 0.0,
+                "effect": if service.is_non_idempotent { "at_most_once" } else { "idempotent" }})
         };
-        let per = |read: fn(&Service) -> Value| self.services.iter().map(read).collect::<Vec<_>>();
+        let for_each_service =
+            |read: fn(&Service) -> Value| self.services.iter().map(read).collect::<Vec<_>>();
         let settings = json!({
             "balancers": self.dispatchers * self.locations, "my_zone": location + 1, "discovery": "pushed",
             "weights": "rough", "resolution_ms": 1.0, "zones": zones, "kinds": ["cache", "parent", "origin"],
-            "classes": self.services.iter().map(class).collect::<Vec<_>>(),
+            "classes": self.services.iter().map(service_settings).collect::<Vec<_>>(),
             "domain": {"count_by_zone": counts, "hub_of": vec![0; self.locations + 1], "shield_kind": 1,
-                "master_kind": 2, "flow_kb_per_s": self.pace_kb, "shares_fills": false, "pass_through_ok": false,
-                "note_level": "all", "lifetime_by_class_ms": per(|s| json!(ms(s.fresh))),
-                "grace_for_ms": per(|s| json!(ms(s.grace))), "pass_on": per(|s| json!(s.non_idempotent)),
-                "parent_floor": self.cold_share, "parent_cold_ms": ms(self.warm_within), "parent_breaks_at": 2.0,
+                "master_kind": 2, "flow_kb_per_s": self.transfer_kb_per_s, "shares_fills": false, "pass_through_ok": false,
+                "note_level": "all", "lifetime_by_class_ms": for_each_service(|service| json!(milliseconds(service.fresh))),
+                "grace_for_ms": for_each_service(|service| json!(milliseconds(service.grace))),
+                "pass_on": for_each_service(|service| json!(service.is_non_idempotent)),
+                "parent_floor": self.cold_fraction, "parent_cold_ms": milliseconds(self.warmup_time), "parent_breaks_at": 2.0,
                 "gone_everywhere_ms": 6000.0},
             "limits": {"cancel": true, "retry_after": true, "max_retry_after_ms": 2000.0, "max_attempts": 3},
-            "obligations": {"start_capacity": self.cold_share, "warm_within_ms": ms(self.warm_within),
+            "obligations": {"start_capacity": self.cold_fraction, "warm_within_ms": milliseconds(self.warmup_time),
                 "fall_multiple": 2.0, "fall_ms": 1000.0}
         });
         if let Value::Object(settings) = settings { settings } else { Map::new() }
--- a/crates/operator/src/file.rs
+++ b/crates/operator/src/file.rs
@@ -517,7 +517,7 @@
     pub quorum: f64,
     pub min_voters: u32,
     pub hold: Duration,
-    pub max_return_attempts: u32,
+    pub max_reverted_steps: u32,
 }
 
 /// A zone whose caches are chosen here.
@@ -627,7 +627,8 @@
 }
 
 impl OperatorFile {
-    /// Reads the settings of a checked file. A missing field that is needed is an error already, so any value stands in for it here.
+    /// Reads the settings of a checked file. A missing field that is needed is an error already, so any value stands in for it
+    /// here.
     pub fn from_form(file: &CheckedForm, errors: &mut Vec<FileError>) -> Self {
         let none = CheckedForm::default();
         let form = |name: &str| file.forms(name).next().unwrap_or(&none);
@@ -674,6 +675,7 @@
     }
 }
 
+/// Reports each name that an earlier form has already.
 fn check_unique_names(forms: &[&CheckedForm], errors: &mut Vec<FileError>) {
     for (index, form) in forms.iter().enumerate() {
         if let Some(first) = forms[..index].iter().find(|first| first.title == form.title) {
@@ -702,7 +704,7 @@
             quorum: zones.number("quorum").unwrap_or(0.6),
             min_voters: zones.count("least-voters").unwrap_or(3) as u32,
             hold: zones.duration("hold").unwrap_or(Duration::from_secs(3)),
-            max_return_attempts: zones.count("tries").unwrap_or(3) as u32,
+            max_reverted_steps: zones.count("tries").unwrap_or(3) as u32,
         }),
     };
     let mut refuse = |name: &str, message: &str| {
--- a/crates/operator/src/form.rs
+++ b/crates/operator/src/form.rs
@@ -1,5 +1,5 @@
-//! Checks a file against its known forms. A form defines its fields with their types, units, occurrence and meaning. The error for
-//! an unknown name suggests the nearest known one.
+//! Checks a file against its known forms. A form defines its fields with their types, units, occurrence and meaning. The
+//! error for an unknown name suggests the nearest known one.
 
 use crate::tree::{FileError, Node, Position, Tree};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     Form(&'static Form),
 }
 
-/// How occurrence a field may occur in its form.
+/// How often a field may occur in its form.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Occurrence {
     Once,
--- a/crates/operator/src/logs.rs
+++ b/crates/operator/src/logs.rs
@@ -75,8 +75,8 @@
     writeln!(out, "{}", Json::Object(line))
 }
 
-/// Sets up logging for the dispatcher that the platform starts: in the default format of `env_logger`, configured by `RUST_LOG`
-/// alone.
+/// Sets up logging for the dispatcher that the platform starts: in the default format of `env_logger`, configured by
+/// `RUST_LOG` alone.
 pub fn start_plain() {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
 }
--- a/crates/operator/src/tree.rs
+++ b/crates/operator/src/tree.rs
@@ -1,5 +1,5 @@
-//! Parses S-expressions and records the position of each in the text. An error does not end the parsing, so that all errors of
-//! a text are reported.
+//! Parses S-expressions and records the position of each in the text. An error does not end the parsing, so that all
+//! errors of a text are reported.
 
 use std::fmt;
 use winnow::ascii::{multispace1, till_line_ending};
--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -95,8 +95,8 @@
     fn any_text_is_parsed_to_its_end(text in "[()\"; \\\\a-z0-9\n\u{e9}]{0,200}") {
         let (trees, errors) = tree::read(&text);
         let _ = read(&text);
-        // Nothing is dropped silently: the tree of a text without errors has one list per opening parenthesis. Texts and comments,
-        // which may contain parentheses, are left out.
+        // Nothing is dropped silently: the tree of a text without errors has one list per opening parenthesis. Texts and
+        // comments, which may contain parentheses, are left out.
         if errors.is_empty() && !text.contains(['"', ';']) {
             fn count_lists(trees: &[tree::Tree]) -> usize {
                 trees.iter().map(|tree| if let tree::Node::List(items) = &tree.node { 1 + count_lists(items) } else { 0 }).sum()
--- a/crates/operator/tests/pages.rs
+++ b/crates/operator/tests/pages.rs
@@ -1,5 +1,5 @@
-//! Reads the examples on the operators' pages from the pages themselves: valid examples have no errors, and invalid ones have
-//! the errors that the page shows.
+//! Reads the examples on the operators' pages from the pages themselves: valid examples have no errors, and invalid ones
+//! have the errors that the page shows.
 
 use myrtlegauge_operator::read;
 
