--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -23,7 +23,7 @@
     match Arguments::parse().command {
         Command::Control { file, log_form } => {
             let Ok(settings) = read_operator_file(&file) else { return ExitCode::from(INVALID_INPUT) };
-            operator::logs::start(log_form.map_or(settings.log_form, Into::into), settings.log_level);
+            operator::logs::start(log_form.map_or(settings.log_format, Into::into), settings.log_level);
             exit_code(myrtlegauge_control::service::run(file, &settings))
         }
         Command::Status { address, timeout_ms } => {
@@ -32,7 +32,7 @@
         }
         Command::Dispatch { file, log_form } => {
             let Ok(settings) = read_operator_file(&file) else { return ExitCode::from(INVALID_INPUT) };
-            operator::logs::start(log_form.map_or(settings.log_form, Into::into), settings.log_level);
+            operator::logs::start(log_form.map_or(settings.log_format, Into::into), settings.log_level);
             exit_code(myrtlegauge_follow::run(file, &settings))
         }
         Command::Replica { command: Some(ReplicaCommand::Status { address, timeout_ms }), .. } => {
@@ -77,7 +77,7 @@
 /// Runs a replica until it is stopped by a signal.
 fn run_replica(file: Option<&Path>, log_form: Option<LogForm>) -> ExitCode {
     let Some(Ok(settings)) = file.map(read_operator_file) else { return ExitCode::from(INVALID_INPUT) };
-    operator::logs::start(log_form.map_or(settings.log_form, Into::into), settings.log_level);
+    operator::logs::start(log_form.map_or(settings.log_format, Into::into), settings.log_level);
     exit_code(myrtlegauge_replica::run(&settings))
 }
 
@@ -111,7 +111,7 @@
         None => ("the built-in experiment".to_owned(), Ok(model::experiment::BUILT_IN.to_owned())),
     };
     let settings = text.and_then(|text| {
-        let to_lines = |errors: Vec<operator::Fault>| {
+        let to_lines = |errors: Vec<operator::FileError>| {
             errors.iter().map(|error| format!("{name}:{error}")).collect::<Vec<_>>().join("\n")
         };
         model::experiment::read(&text).map_err(to_lines)
@@ -143,5 +143,5 @@
     } else {
         print!("{}", results.table());
     }
-    if results.broken() > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    if results.violations() > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -13,7 +13,7 @@
 use envoy_types::pb::envoy::service::load_stats::v3::LoadStatsRequest;
 use envoy_types::pb::envoy::service::status::v3::ClientStatusResponse;
 use myrtlegauge_operator::OperatorFile;
-use myrtlegauge_operator::file::Control;
+use myrtlegauge_operator::file::ControlSettings;
 use myrtlegauge_wire::change_log_client::{ChangeLogClient, SequenceCheck};
 use myrtlegauge_wire::clock::Clock;
 use myrtlegauge_wire::protocol::StreamError;
@@ -131,7 +131,7 @@
         });
     watched.map_err(|e| format!("can't add the signal source to the event loop: {e}"))?;
     let mut service = Service::new(event_loop.handle(), file, control)?;
-    grpc::serve(listener, event_sender, control.reports_every)?;
+    grpc::serve(listener, event_sender, control.report_interval)?;
     log::info!(address:%; "{} serves routing decisions", service.name);
     while !service.is_stopping {
         event_loop
@@ -147,17 +147,17 @@
     fn new(
         loop_handle: LoopHandle<'static, Self>,
         file: &OperatorFile,
-        control: &Control,
+        control: &ControlSettings,
     ) -> Result<Self, String> {
         let clock = Clock::start();
         let now = clock.now();
         let lease = Lease::from_grace_periods(control.drain_grace, control.purge_grace, control.clock_error);
         let mut service = Self {
             name: control.name.clone(),
-            fleet: Fleet::new(&file.facts, fastrand::u64(..), clock)?,
-            server: AdsServer::new(lease, control.most_proxies),
-            reports: LoadReports::new(control.reports_every, now),
-            zones: ZoneController::from_file(file, control.reports_every, now),
+            fleet: Fleet::new(&file.decision_settings, fastrand::u64(..), clock)?,
+            server: AdsServer::new(lease, control.max_proxies),
+            reports: LoadReports::new(control.report_interval, now),
+            zones: ZoneController::from_file(file, control.report_interval, now),
             change_log: control
                 .change_log
                 .map(|address| ChangeLogClient::new(address, ChangeLog).with_overlap()),
@@ -189,7 +189,7 @@
     fn reload(&mut self, path: &std::path::Path) {
         let file = std::fs::read_to_string(path).map_err(|e| e.to_string());
         let file = file.and_then(|text| {
-            let join = |faults: Vec<myrtlegauge_operator::Fault>| {
+            let join = |faults: Vec<myrtlegauge_operator::FileError>| {
                 faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
             };
             myrtlegauge_operator::read(&text).map_err(join)
--- a/crates/control/src/zoning.rs
+++ b/crates/control/src/zoning.rs
@@ -32,20 +32,20 @@
     /// Creates the controller if the operator file has settings for it.
     pub fn from_file(file: &OperatorFile, reports_every: Duration, now: Duration) -> Option<Self> {
         let settings = file.control.as_ref()?.zones?;
-        let zones: Vec<_> = file.zones.iter().map(|zone| (zone.name.clone(), zone.bears)).collect();
+        let zones: Vec<_> = file.zones.iter().map(|zone| (zone.name.clone(), zone.capacity_per_s)).collect();
         let slow_start_value = |name: &str| {
-            file.facts.get("obligations").and_then(|obligations| obligations.get(name)?.as_f64())
+            file.decision_settings.get("obligations").and_then(|obligations| obligations.get(name)?.as_f64())
         };
         let policy = ZonePolicy {
             quorum: settings.quorum,
-            min_voters: settings.least_voters,
+            min_voters: settings.min_voters,
             report_interval: reports_every,
             hold_down: settings.hold,
-            max_step_backs: settings.tries,
+            max_step_backs: settings.max_step_backs,
             cold_fraction: slow_start_value("start_capacity").unwrap_or(1.0),
             warm_up_time: Duration::from_secs_f64(slow_start_value("warm_within_ms").unwrap_or(0.0) / 1e3),
         };
-        let zone_indices = file.zones.iter().map(|zone| zone.number).collect();
+        let zone_indices = file.zones.iter().map(|zone| zone.index).collect();
         Some(Self { fleet: EvacuationController::new(policy, &zones, now), zone_indices })
     }
 
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -60,7 +60,7 @@
         let file = myrtlegauge_operator::read(&text).expect("the example file is valid");
         let clock = Clock::start();
         let now = clock.now();
-        let fleet = Fleet::new(&file.facts, 7, clock).unwrap();
+        let fleet = Fleet::new(&file.decision_settings, 7, clock).unwrap();
         let mut control = Self { fleet, server: AdsServer::new(lease, 64), now };
         let mut entries: Vec<_> =
             (0..caches).map(|index| host_entry(&format!("cache-{index}"), "active", 0)).collect();
--- a/crates/control/tests/decisions.rs
+++ b/crates/control/tests/decisions.rs
@@ -38,7 +38,7 @@
 impl ReferenceRouter {
     fn new(control: &TestControlPlane) -> Self {
         let text = common::EXAMPLE.replace("(falls-at 2))", "(falls-at 2) (falls-in 1h))");
-        let settings = myrtlegauge_operator::read(&text).unwrap().facts;
+        let settings = myrtlegauge_operator::read(&text).unwrap().decision_settings;
         let mut reference = Self { router: Router::new(&settings, 1).unwrap(), now: control.now };
         reference.update(control);
         reference
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -29,7 +29,7 @@
     // Precedes the start of any thread: each thread inherits the mask of signals that are kept for the event loop.
     let signals = program::signals()?;
     let dispatcher = file.dispatcher.as_ref().ok_or("the operator file configures no dispatcher")?;
-    let zones = if dispatcher.follow.is_empty() {
+    let zones = if dispatcher.control_services.is_empty() {
         None
     } else {
         let (news_sender, updates) = calloop::channel::channel();
@@ -37,25 +37,25 @@
             name: dispatcher.name.clone(),
             zones: file.zones.iter().map(|zone| zone.name.clone()).collect(),
             services: file.services.clone(),
-            control_services: dispatcher.follow.clone(),
+            control_services: dispatcher.control_services.clone(),
         };
         let reports = stream::start(stream_settings, news_sender)?;
         let report = Box::new(move |report| drop(reports.send(std::sync::Arc::new(report))));
-        Some(ZoneChannel { updates, report, report_interval: dispatcher.reports_every })
+        Some(ZoneChannel { updates, report, report_interval: dispatcher.report_interval })
     };
     let member = dispatcher.peers.as_ref().map(|peers| driver::Startup {
         name: dispatcher.name.clone(),
         fleet: peers.fleet.clone(),
         listen: peers.listen,
-        advertised: peers.reached_at,
+        advertised: peers.advertised_address,
         seed_peers: peers.peers.clone(),
-        expected_members: peers.told,
+        expected_members: peers.origin_sharers,
     });
     let replicas = dispatcher.replicas.map(|replicas| ReplicasStartup {
         name: dispatcher.name.clone(),
         primary: replicas.primary,
         fallback: replicas.fallback,
-        doubt_after: replicas.doubt_after,
+        doubt_after: replicas.purges_unknown_after,
         seed: fastrand::u64(..),
         defences,
     });
@@ -63,10 +63,10 @@
         listen: dispatcher.listen,
         change_log: dispatcher.change_log,
         known_changes: Changes { last_seq: 0, results: Vec::new() },
-        settings: &file.facts,
+        settings: &file.decision_settings,
         seed: fastrand::u64(..),
         resource_limits: ResourceLimits {
-            descriptors: dispatcher.sockets,
+            descriptors: dispatcher.max_descriptors,
             memory_bytes: dispatcher.memory_mb << 20,
         },
         guards: Guards::ALL,
--- a/crates/replica/src/service.rs
+++ b/crates/replica/src/service.rs
@@ -11,7 +11,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, LoopHandle};
 use myrtlegauge_operator::OperatorFile;
-use myrtlegauge_operator::file::ReplicaTerms;
+use myrtlegauge_operator::file::ReplicaSettings;
 use myrtlegauge_replication::{
     Incarnation, LogId, PollAnswer, PollId, PollRequest, PublishError, Record, Replica, ReplicaConfig,
     ReplicaDefences, ReplicaName,
@@ -143,7 +143,10 @@
     ///
     /// # Errors
     /// The settings are unusable, or the address cannot be listened on.
-    pub fn start(event_loop: LoopHandle<'static, Self>, terms: &ReplicaTerms) -> Result<Self, ReplicaError> {
+    pub fn start(
+        event_loop: LoopHandle<'static, Self>,
+        terms: &ReplicaSettings,
+    ) -> Result<Self, ReplicaError> {
         Self::start_with(event_loop, terms, ReplicaDefences::default())
     }
 
@@ -153,7 +156,7 @@
     /// The same as for [`Service::start`].
     pub fn start_with(
         event_loop: LoopHandle<'static, Self>,
-        terms: &ReplicaTerms,
+        terms: &ReplicaSettings,
         defences: ReplicaDefences,
     ) -> Result<Self, ReplicaError> {
         let clock = Clock::start();
@@ -168,7 +171,7 @@
             name,
             log,
             core,
-            pollers: Pollers::new(listener, terms.most_connections),
+            pollers: Pollers::new(listener, terms.max_connections),
             peers: Peers::new(&terms.peers),
             source: terms.source.map(Source::new),
             purges: LatestPurges::default(),
@@ -496,14 +499,14 @@
     }
 }
 
-fn replica_config(terms: &ReplicaTerms, incarnation: Incarnation) -> ReplicaConfig {
+fn replica_config(terms: &ReplicaSettings, incarnation: Incarnation) -> ReplicaConfig {
     let name = ReplicaName(terms.name.clone());
     let peers = terms.peers.iter().map(|peer| ReplicaName(peer.name.clone())).collect();
     ReplicaConfig {
-        batch_interval: terms.batch,
+        batch_interval: terms.batch_interval,
         member_lease: terms.member_lease,
-        purge_retention: terms.purges_kept,
-        doubt_after: terms.doubt_after,
+        purge_retention: terms.purge_retention,
+        doubt_after: terms.purges_unknown_after,
         ..ReplicaConfig::new(name, peers, incarnation)
     }
 }
--- a/crates/replica/tests/exchange.rs
+++ b/crates/replica/tests/exchange.rs
@@ -6,15 +6,15 @@
     RawPoller, ReplicaThread, free_address, is_in_force, member_query, peer, purge, purge_state,
     purged_objects, terms,
 };
-use myrtlegauge_operator::file::ReplicaTerms;
+use myrtlegauge_operator::file::ReplicaSettings;
 use myrtlegauge_replica::status::PurgeState;
 use myrtlegauge_replication::ReplicaStanding;
 use std::time::{Duration, Instant};
 
 fn start_pair() -> (ReplicaThread, ReplicaThread) {
     let [address_a, address_b] = [free_address(), free_address()];
-    let a = ReplicaTerms { peers: vec![peer("b", address_b)], ..terms("a", address_a) };
-    let b = ReplicaTerms { peers: vec![peer("a", address_a)], ..terms("b", address_b) };
+    let a = ReplicaSettings { peers: vec![peer("b", address_b)], ..terms("a", address_a) };
+    let b = ReplicaSettings { peers: vec![peer("a", address_a)], ..terms("b", address_b) };
     (ReplicaThread::start(a), ReplicaThread::start(b))
 }
 
@@ -79,8 +79,9 @@
 #[test]
 fn a_restarted_peer_is_polled_from_the_start_of_its_log() {
     let [address_a, address_b] = [free_address(), free_address()];
-    let a = ReplicaThread::start(ReplicaTerms { peers: vec![peer("b", address_b)], ..terms("a", address_a) });
-    let b_terms = ReplicaTerms { peers: vec![peer("a", address_a)], ..terms("b", address_b) };
+    let a =
+        ReplicaThread::start(ReplicaSettings { peers: vec![peer("b", address_b)], ..terms("a", address_a) });
+    let b_terms = ReplicaSettings { peers: vec![peer("a", address_a)], ..terms("b", address_b) };
     let b = ReplicaThread::start(b_terms.clone());
     b.publish(purge("c1"));
     assert_eq!(purged_objects(&RawPoller::connect(a.address).poll("since=0&timeout=20000")), ["c1"]);
--- a/crates/replica/tests/polls.rs
+++ b/crates/replica/tests/polls.rs
@@ -38,8 +38,10 @@
 fn events_of_one_batch_interval_are_sent_in_one_answer() {
     let batch = Duration::from_millis(600);
     let address = "127.0.0.1:0".parse().expect("an address");
-    let replica =
-        ReplicaThread::start(myrtlegauge_operator::file::ReplicaTerms { batch, ..terms("a", address) });
+    let replica = ReplicaThread::start(myrtlegauge_operator::file::ReplicaSettings {
+        batch_interval: batch,
+        ..terms("a", address)
+    });
     let mut poller = RawPoller::connect(replica.address);
     let first = poller.poll(&member_query("m", "", 0, 0));
     let answered_at = Instant::now();
@@ -151,7 +153,7 @@
 fn at_the_connection_limit_idle_connections_are_closed_to_make_room() {
     let address = "127.0.0.1:0".parse().expect("an address");
     let limited_terms =
-        myrtlegauge_operator::file::ReplicaTerms { most_connections: 3, ..terms("a", address) };
+        myrtlegauge_operator::file::ReplicaSettings { max_connections: 3, ..terms("a", address) };
     let replica = ReplicaThread::start(limited_terms);
     let mut busy = RawPoller::connect(replica.address);
     busy.send_poll("since=0&timeout=20000");
