--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Runs a dispatcher until it is signalled to shut down. On SIGHUP the address of the change log is read again.
+/// Runs a dispatcher until it is signalled to shut down. On SIGHUP the address of the change log is reloaded.
 ///
 /// # Errors
 /// The file configures no dispatcher, or an address cannot be listened on.
@@ -21,7 +21,7 @@
     run_with(path, file, SubscriberDefences::default())
 }
 
-/// Runs a dispatcher with some of the subscriber's defences switched off, for proofs.
+/// Runs a dispatcher with some of the subscriber's defences disabled, for proof runs.
 ///
 /// # Errors
 /// The same as those of [`run`].
@@ -32,14 +32,14 @@
     let zones = if dispatcher.follow.is_empty() {
         None
     } else {
-        let (news_sender, updates) = calloop::channel::channel();
+        let (update_sender, updates) = calloop::channel::channel();
         let stream_settings = stream::StreamSettings {
             name: dispatcher.name.clone(),
             zones: file.zones.iter().map(|zone| zone.name.clone()).collect(),
             services: file.services.clone(),
             control_services: dispatcher.follow.clone(),
         };
-        let reports = stream::start(stream_settings, news_sender)?;
+        let reports = stream::start(stream_settings, update_sender)?;
         let report = Box::new(move |report| drop(reports.send(std::sync::Arc::new(report))));
         Some(ZoneChannel { updates, report, report_interval: dispatcher.reports_every })
     };
--- a/crates/follow/src/stream.rs
+++ b/crates/follow/src/stream.rs
@@ -32,6 +32,7 @@
 pub struct StreamSettings {
     /// This dispatcher's name.
     pub name: String,
+    /// The names of the zones.
     pub zones: Vec<String>,
     /// The names of the delivery services, by index.
     pub services: Vec<String>,
@@ -39,12 +40,12 @@
     pub control_services: Vec<SocketAddr>,
 }
 
-/// Where reports are handed to the streams. Each stream sends the latest one.
+/// Passes reports to the streams. Each stream sends the latest one.
 pub type ReportSender = watch::Sender<Arc<ZoneReport>>;
 
-/// Follows all control services until the process ends. Verdicts and leases go to `news`; reports that are handed to the
-/// returned sender go to each service.
-pub fn start(settings: StreamSettings, news: Sender<ZoneUpdate>) -> Result<ReportSender, String> {
+/// Follows all control services until the process ends. Verdicts and leases go to `updates`; reports that are handed to
+/// the returned sender go to each service.
+pub fn start(settings: StreamSettings, updates: Sender<ZoneUpdate>) -> Result<ReportSender, String> {
     let (report_sender, latest_report) = watch::channel(Arc::new(ZoneReport::default()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime =
@@ -54,11 +55,11 @@
         runtime.block_on(async move {
             let mut streams = tokio::task::JoinSet::new();
             for &service in &settings.control_services {
-                let (settings, news, latest_report) =
-                    (Arc::clone(&settings), news.clone(), latest_report.clone());
+                let (settings, updates, latest_report) =
+                    (Arc::clone(&settings), updates.clone(), latest_report.clone());
                 streams.spawn(async move {
                     tokio::join!(
-                        reopen_forever(service, || receive_verdicts(&settings, service, &news)),
+                        reopen_forever(service, || receive_verdicts(&settings, service, &updates)),
                         reopen_forever(service, || send_reports(&settings, service, latest_report.clone()))
                     )
                 });
@@ -78,7 +79,9 @@
 ) {
     loop {
         if let Err(error) = run_stream().await {
-            log::debug!("stream to control service {service} failed, opening it again: {error}");
+            log::debug!(
+                "stream to control service {service} failed, opening it again after a backoff: {error}"
+            );
         }
         tokio::time::sleep(Duration::from_millis(fastrand::u64(RECONNECT_BACKOFF_MS))).await;
     }
@@ -102,7 +105,7 @@
 async fn receive_verdicts(
     settings: &StreamSettings,
     service: SocketAddr,
-    news: &Sender<ZoneUpdate>,
+    updates: &Sender<ZoneUpdate>,
 ) -> Result<(), String> {
     let describe = |status: tonic::Status| status.to_string();
     let mut client = AggregatedDiscoveryServiceClient::new(connect(service).await?);
@@ -135,7 +138,7 @@
                     let effective_in = Duration::from_millis(line.from_unix_ms.saturating_sub(unix_ms()));
                     received_zones.insert(zone.clone());
                     let verdict = ZoneUpdate::Verdict { zone, verdict: line.verdict(), effective_in };
-                    news.send(verdict).map_err(|_| "the dispatcher is shutting down")?;
+                    updates.send(verdict).map_err(|_| "the dispatcher is shutting down")?;
                 }
                 Err(error) => rejection = Some(error.to_owned()),
             }
@@ -146,7 +149,7 @@
         if let (Some(ttl), Some(written_unix_ms), true) = (ttl, nonce_unix_ms(&nonce), has_all_zones) {
             let age = Duration::from_millis(unix_ms().saturating_sub(written_unix_ms));
             let remaining = ttl.saturating_sub(age);
-            news.send(ZoneUpdate::Lease(remaining)).map_err(|_| "the dispatcher is shutting down")?;
+            updates.send(ZoneUpdate::Lease(remaining)).map_err(|_| "the dispatcher is shutting down")?;
         }
         let error_detail = rejection.map(|message| envoy_types::pb::google::rpc::Status {
             code: 3,
@@ -216,12 +219,13 @@
         num_requests_finished_with_metric: count,
         total_metric_value: total as f64,
     };
-    let stats = report.hosts.iter().map(|(name, address, seen)| {
-        let HostEvidence { returned, errored, late, fills } = seen;
-        let fills =
-            fills.iter().enumerate().filter(|(_, (all, _))| *all > 0).filter_map(|(ds, (all, bad))| {
-                Some(metric(format!("fills/{}", settings.services.get(ds)?), *all, *bad))
-            });
+    let stats = report.hosts.iter().map(|(name, address, evidence)| {
+        let HostEvidence { returned, errored, late, fills } = evidence;
+        let fills = fills.iter().enumerate().filter(|(_, (total, _))| *total > 0).filter_map(
+            |(ds, (total, late_or_failed))| {
+                Some(metric(format!("fills/{}", settings.services.get(ds)?), *total, *late_or_failed))
+            },
+        );
         endpoint::UpstreamEndpointStats {
             address: Some(messages::encode_address(*address)),
             metadata: Some(messages::host_metadata(name)),
--- a/crates/zones/src/controller.rs
+++ b/crates/zones/src/controller.rs
@@ -1,5 +1,5 @@
 //! Verdicts on zones for a whole fleet. Reports of many dispatchers come in. For each zone a verdict comes out: the fraction
-//! of its keys that it takes and from when on, under an epoch that never goes back.
+//! of its keys that it takes and from when on, under an epoch that never decreases.
 //!
 //! A zone is evacuated once a quorum of the dispatchers that use it find it dead, or for longer find it ill, while another
 //! zone is well. The last well zone is never evacuated. Where the remaining zones lack the capacity for the traffic, the
@@ -15,16 +15,17 @@
 /// How long a quorum must find a zone ill before it is evacuated. A brief disturbance does not justify an evacuation. A
 /// zone that delays half of its GETs past their objectives costs more than the evacuation within seconds.
 const ILL_BEFORE_EVACUATION: Duration = Duration::from_millis(2000);
-/// The first step of a return, the trial: the smallest fraction of the keys, and the GETs a second that it should carry.
-/// Enough dispatchers then see within a second whether the zone is alive, and few GETs are lost where it is not.
+/// The smallest key fraction of the trial, which is the first step of a return.
 const MIN_TRIAL_FRACTION: f64 = 1.0 / 64.0;
+/// GETs a second that the trial should carry. Enough dispatchers then observe within a second whether the zone is alive,
+/// and few GETs are lost where it is not.
 const TRIAL_GETS_PER_S: f64 = 20.0;
 /// Steps from the fraction that a cold zone has the capacity for to all keys.
 const RETURN_STEPS: u32 = 8;
-/// A return goes back a step when more than this fraction of the voters find the returning zone ill or dead.
+/// A return is set back by a step when more than this fraction of the voters find the returning zone ill or dead.
 const STEP_BACK_FRACTION: f64 = 1.0 / 3.0;
-/// A return goes back a step when more than this fraction of fills fail or are late at their sources: the step is then too
-/// much for the sources.
+/// A return is set back by a step when more than this fraction of fills fail or are late at their sources: the step then
+/// overloads the sources.
 const MAX_BAD_SOURCE_FRACTION: f64 = 0.2;
 /// A zone that is evacuated again within this time after it served fully has its hold-down doubled.
 const FLAP_WINDOW: Duration = Duration::from_secs(60);
@@ -62,22 +63,28 @@
 /// How a zone is used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
+    /// Takes all of its keys.
     #[default]
     Serving,
     /// Some dispatchers find it dead, but no quorum: these act by their own rule.
     Doubted,
     /// Evacuated.
     Left,
+    /// Takes a fraction of its keys that grows in steps.
     Returning,
 }
 
 /// The reason for a zone's stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Why {
+    /// No failure is the reason.
     #[default]
     Well,
+    /// Dispatchers find it dead.
     Dead,
+    /// A quorum has found it ill for long enough.
     Ill,
+    /// An operator ordered its evacuation.
     Operator,
     /// It would be evacuated, but no other zone is well.
     Last,
@@ -90,6 +97,7 @@
 /// An operator's order for a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
+    /// The evidence decides.
     #[default]
     None,
     /// The zone is evacuated.
@@ -103,6 +111,7 @@
 pub struct Verdict {
     /// Later verdicts have higher epochs, over all zones and services.
     pub epoch: u64,
+    /// How the zone is used.
     pub stage: Stage,
     /// The fraction of its keys that the zone takes.
     pub part: f64,
@@ -129,14 +138,19 @@
 
 /// A zone with its verdict and the evidence on it.
 pub struct Zone {
+    /// The configured name.
     pub name: String,
     /// GETs a second that the zone has the capacity for when warm; zero: not configured.
     pub capacity: f64,
+    /// The current verdict.
     pub verdict: Verdict,
+    /// The reason for the verdict's stage.
     pub why: Why,
+    /// The operator's order that applies.
     pub order: Order,
     /// When the zone entered its stage and step.
     pub since: Duration,
+    /// The step of its return. Zero: the trial.
     pub step: u32,
     /// Steps back in this return.
     pub step_backs: u32,
@@ -157,6 +171,7 @@
 /// The verdicts on all zones, with the evidence of the members: the dispatchers that report.
 pub struct EvacuationController {
     policy: ZonePolicy,
+    /// The zones, in configured order.
     pub zones: Vec<Zone>,
     epoch: u64,
     started_at: Duration,
@@ -233,10 +248,16 @@
 
     /// Records that a dispatcher reported: the GETs that it took, those that it shed included, and its fills at sources, all
     /// and those late or failed.
-    pub fn record_report(&mut self, member: &str, taken: u64, (all, bad): (u64, u64), now: Duration) {
+    pub fn record_report(
+        &mut self,
+        member: &str,
+        taken: u64,
+        (total_fills, late_or_failed): (u64, u64),
+        now: Duration,
+    ) {
         self.interval_taken += taken as f64;
         self.members.insert(member.to_owned(), now);
-        self.fills = (self.fills.0 + all as f64, self.fills.1 + bad as f64);
+        self.fills = (self.fills.0 + total_fills as f64, self.fills.1 + late_or_failed as f64);
     }
 
     /// Records the verdict that a dispatcher holds on a zone, as another service or an earlier process of this one issued it.
@@ -260,7 +281,7 @@
         self.has_learned
     }
 
-    /// How many dispatchers reported lately.
+    /// The number of dispatchers that reported within the last few intervals.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
@@ -307,9 +328,12 @@
         }
         let rate = std::mem::take(&mut self.interval_taken) / elapsed.as_secs_f64();
         self.total_get_rate += AVERAGE_WEIGHT * (rate - self.total_get_rate);
-        let (all, bad) = std::mem::take(&mut self.fills);
-        self.bad_source_fraction =
-            if all > 0.0 { bad / all } else { self.bad_source_fraction * (1.0 - AVERAGE_WEIGHT) };
+        let (total_fills, late_or_failed) = std::mem::take(&mut self.fills);
+        self.bad_source_fraction = if total_fills > 0.0 {
+            late_or_failed / total_fills
+        } else {
+            self.bad_source_fraction * (1.0 - AVERAGE_WEIGHT)
+        };
         let oldest = now.saturating_sub(self.policy.report_interval * 4);
         self.members.retain(|_, at| *at >= oldest);
         for zone in &mut self.zones {
@@ -408,7 +432,7 @@
         }
     }
 
-    /// Moves a return a step on or a step back, or gives it up.
+    /// Advances a return by a step, sets it back by a step, or gives it up.
     fn continue_return(&mut self, index: usize, is_dead: bool, now: Duration) {
         let zone = &self.zones[index];
         // Only evidence from after the step took effect counts for it.
--- a/crates/zones/src/held_verdicts.rs
+++ b/crates/zones/src/held_verdicts.rs
@@ -2,7 +2,7 @@
 //! required.
 //!
 //! That a zone serves needs no lease: each GET there renews the dispatcher's own evidence. That a zone was evacuated holds
-//! until a later verdict says otherwise. The key fraction of a returning zone is leased: it was computed for all
+//! until a later verdict replaces it. The key fraction of a returning zone is leased: it was computed for all
 //! dispatchers together, and a dispatcher that is cut off cannot know when it was withdrawn.
 
 use crate::controller::{Stage, Verdict};
@@ -10,8 +10,8 @@
 
 /// The longest that a verdict waits to take effect by this dispatcher's clock, whatever the sender's clock says.
 const MAX_LEAD: Duration = Duration::from_millis(300);
-/// After a start or a gap in which this process did not run: how long to wait for a control service before the verdicts
-/// held so far count again.
+/// After a start, or a pause in which this process did not run: how long to wait for a control service before the
+/// verdicts held so far count again.
 const UNCERTAIN_FOR: Duration = Duration::from_millis(300);
 
 /// The verdict held for one zone.
@@ -29,7 +29,7 @@
 pub struct HeldVerdicts {
     zones: Vec<ZoneVerdict>,
     leased_until: Duration,
-    /// Nothing was received since a start or a gap: until then no zone takes keys.
+    /// Nothing was received since a start or a pause: until then no zone takes keys.
     uncertain_until: Duration,
 }
 
@@ -70,7 +70,7 @@
         (self.leased_until, self.uncertain_until) = (Duration::ZERO, now + UNCERTAIN_FOR);
     }
 
-    /// Whether the wait for a control service after a start or a gap is still running.
+    /// Whether the wait for a control service after a start or a pause is still running.
     pub fn is_uncertain(&self, now: Duration) -> bool {
         now < self.uncertain_until
     }
--- a/crates/zones/src/local_rule.rs
+++ b/crates/zones/src/local_rule.rs
@@ -6,12 +6,14 @@
 
 /// Consecutive intervals that must show a zone dead; a single one may be a brief disturbance.
 const DEAD_INTERVALS: u32 = 2;
-/// How long a zone is avoided but for a trial, at first. The time doubles each time that the trial fails, up to the maximum.
+/// How long a zone is avoided, except for a trial, after the first failure. The time doubles with each failed trial, up
+/// to the maximum.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(1000);
 const MAX_BACKOFF: Duration = Duration::from_millis(16_000);
 /// The fraction of the keys that is still sent there, to find out whether the zone is alive.
 const TRIAL_FRACTION: f64 = 1.0 / 64.0;
 
+/// The local rule's state for one zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneBackoff {
     dead_intervals: u32,
@@ -26,12 +28,13 @@
 }
 
 impl LocalRule {
+    /// Creates the rule for a number of zones, none of which is avoided.
     pub fn new(zones: usize) -> Self {
         Self { zones: vec![ZoneBackoff::default(); zones] }
     }
 
     /// Records the evidence of an interval on all zones. A dead zone is avoided only if another one is well: where all are
-    /// dead, either this dispatcher is cut off or the origin is gone, and avoiding a zone does not help.
+    /// dead, either this dispatcher is cut off or the origin has failed, and avoiding a zone does not help.
     pub fn record(&mut self, evidence: &[HostEvidence], now: Duration) {
         let any_well = evidence.iter().any(|evidence| evidence.vote() == Some(Vote::Well));
         for (zone, evidence) in self.zones.iter_mut().zip(evidence) {
@@ -83,7 +86,7 @@
         assert!(rule.max_key_fraction(0, ms(510)) < 0.1 && rule.max_key_fraction(1, ms(510)) == 1.0);
         assert_eq!(rule.max_key_fraction(0, ms(1600)), 1.0);
         let mut rule = LocalRule::new(2);
-        (1..9).for_each(|n| rule.record(&[dead, dead], ms(250 * n)));
+        (1..9).for_each(|interval| rule.record(&[dead, dead], ms(250 * interval)));
         assert_eq!((rule.max_key_fraction(0, ms(2500)), rule.max_key_fraction(1, ms(2500))), (1.0, 1.0));
     }
 }
--- a/crates/zones/src/shedding.rs
+++ b/crates/zones/src/shedding.rs
@@ -11,19 +11,19 @@
 /// since.
 const SETTLING_REPORTS: u32 = 1;
 /// Report intervals that are measured before the fraction is raised, and before it is lowered. Overload has to end soon;
-/// GETs that could be let in may wait for a more reliable mean.
+/// GETs that could be admitted may wait for a more reliable mean.
 const REPORTS_TO_RAISE: u32 = 3;
 const REPORTS_TO_LOWER: u32 = 7;
 /// By how much the fraction must be too small before it is raised.
 const MIN_RAISE: f64 = 0.05;
 /// By how much the fraction is lowered at a time. The keys that come back may carry more GETs than their number suggests.
-/// With them come the clients that were told to retry later: all that was shed in the last seconds, at once.
+/// In addition, the clients of GETs that were shed with a retry delay in the last seconds return, all at once.
 const LOWER_STEP: f64 = 0.03;
 /// The fraction is lowered while less than this share of the zones' capacity is sent. Keys that are new to the remaining
 /// zones are not sent in full before their fills have arrived, and hosts near their capacity are sent retries of what they
 /// did not answer.
 const LOWER_BELOW_UTILIZATION: f64 = 0.9;
-/// The smallest fraction of the keys that is let in.
+/// The smallest fraction of the keys that is admitted.
 const MIN_ADMITTED: f64 = 0.1;
 
 /// Finds the fraction of all keys to shed from the GETs that are sent.
--- a/crates/zones/src/votes.rs
+++ b/crates/zones/src/votes.rs
@@ -1,4 +1,5 @@
-//! Evidence on a zone: how its hosts answered each dispatcher lately. Each dispatcher has one vote, however often it reports.
+//! Evidence on a zone: how its hosts recently answered each dispatcher. Each dispatcher has one vote, however often it
+//! reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,9 +9,9 @@
 const DEAD_FRACTION: f64 = 0.6;
 /// The fraction of contacted hosts that must fail or be late for a zone to count as ill.
 const ILL_FRACTION: f64 = 0.4;
-/// Hosts that must have been contacted: a single one says nothing of the zone.
+/// Hosts that must have been contacted: a single one is no evidence on the zone.
 const MIN_HOSTS: u32 = 2;
-/// Voters remembered for a zone, so that made-up names cannot fill the memory.
+/// The maximum number of voters recorded for a zone, so that made-up names cannot fill the memory.
 const MAX_VOTERS: usize = 4096;
 
 /// How a zone's hosts answered a dispatcher in one interval.
@@ -27,9 +28,11 @@
 /// A dispatcher's vote on a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Vote {
+    /// Too few hosts fail or are late for another vote.
     Well,
-    /// A gray failure: slow, lossy, or half of it gone.
+    /// A gray failure: slow, lossy, or half of its hosts failed.
     Ill,
+    /// Most of the contacted hosts fail.
     Dead,
 }
 
@@ -68,6 +71,7 @@
 }
 
 impl Tally {
+    /// The number of voters.
     pub fn voters(&self) -> u32 {
         self.well + self.ill + self.dead
     }
@@ -130,8 +134,8 @@
     #[test]
     fn each_voter_has_one_vote_and_outdated_votes_do_not_count() {
         let (mut votes, seconds) = (Votes::default(), Duration::from_secs);
-        for n in 0..100 {
-            votes.cast("loud", Vote::Dead, seconds(1) + Duration::from_millis(n));
+        for offset_ms in 0..100 {
+            votes.cast("frequent", Vote::Dead, seconds(1) + Duration::from_millis(offset_ms));
         }
         votes.cast("a", Vote::Well, seconds(3));
         votes.cast("b", Vote::Well, seconds(3));
--- a/crates/zones/tests/generated.rs
+++ b/crates/zones/tests/generated.rs
@@ -40,7 +40,8 @@
     ServiceRestart,
 }
 
-struct World {
+/// A control service with its followers, in virtual time.
+struct FleetSimulation {
     controller: EvacuationController,
     health: Vec<Health>,
     /// How many members are cut off from each zone.
@@ -58,7 +59,7 @@
     capacity: f64,
 }
 
-impl World {
+impl FleetSimulation {
     fn new(zones: usize, false_reporters: usize, capacity: f64) -> Self {
         let now = Duration::from_secs(100);
         Self {
@@ -124,7 +125,7 @@
         for (index, zone) in self.controller.zones.iter().enumerate() {
             let (new, held) = (zone.verdict, &mut self.held[index]);
             if new.epoch < held.epoch {
-                return Err(format!("epoch of {} went from {} to {}", zone.name, held.epoch, new.epoch));
+                return Err(format!("epoch of {} decreased from {} to {}", zone.name, held.epoch, new.epoch));
             }
             if !new.supersedes(held) {
                 continue;
@@ -133,7 +134,10 @@
                 let max_step = (1.0 - 0.22) / 8.0 + 1e-9;
                 let ends_trial = held.part < 0.22 && new.part <= 0.22 + 1e-9;
                 if !ends_trial && new.part > held.part + max_step {
-                    return Err(format!("{} went from {} to {} at once", zone.name, held.part, new.part));
+                    return Err(format!(
+                        "the key fraction of {} grew from {} to {} in one step",
+                        zone.name, held.part, new.part
+                    ));
                 }
             }
             if new.stage == Stage::Left && held.stage != Stage::Left {
@@ -184,7 +188,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Epochs never go back, a return advances by single steps, some zone always takes keys, and none is evacuated more
+    /// Epochs never decrease, a return advances by single steps, some zone always takes keys, and none is evacuated more
     /// often than its hold-down allows.
     #[test]
     fn the_invariants_hold_on_any_schedule(
@@ -192,14 +196,14 @@
         zones in 2..4usize,
         false_reporters in 0..4usize,
     ) {
-        let mut world = World::new(zones, false_reporters, 0.0);
-        prop_assert_eq!(world.run(8), Ok(()));
+        let mut simulation = FleetSimulation::new(zones, false_reporters, 0.0);
+        prop_assert_eq!(simulation.run(8), Ok(()));
         for (intervals, event) in events {
-            world.apply_event(event);
-            prop_assert_eq!(world.run(intervals), Ok(()));
+            simulation.apply_event(event);
+            prop_assert_eq!(simulation.run(intervals), Ok(()));
         }
         // Operators may order evacuations at any rate. Such orders are in the schedule, so the bound is wide.
-        for evacuations in &world.evacuations {
+        for evacuations in &simulation.evacuations {
             let counts = evacuations.iter().map(|start| evacuations.iter().filter(|at| **at >= *start && **at < *start + Duration::from_secs(10)).count());
             prop_assert!(counts.max().unwrap_or(0) <= 8, "{:?}", evacuations);
         }
@@ -212,13 +216,13 @@
         is_reporting_falsely in any::<bool>(),
         intervals in 4..100usize,
     ) {
-        let mut world = World::new(3, if is_reporting_falsely { 3 } else { 0 }, 0.0);
-        world.run(8).expect("the invariants hold while all zones are well");
+        let mut simulation = FleetSimulation::new(3, if is_reporting_falsely { 3 } else { 0 }, 0.0);
+        simulation.run(8).expect("the invariants hold while all zones are well");
         if !is_reporting_falsely {
-            world.apply_event(Event::CutOff(zone, 3));
+            simulation.apply_event(Event::CutOff(zone, 3));
         }
-        prop_assert_eq!(world.run(intervals), Ok(()));
-        prop_assert!(world.held.iter().all(|held| held.part == 1.0), "{:?}", world.held);
+        prop_assert_eq!(simulation.run(intervals), Ok(()));
+        prop_assert!(simulation.held.iter().all(|held| held.part == 1.0), "{:?}", simulation.held);
     }
 }
 
@@ -226,88 +230,92 @@
 /// take no longer than one and a half times the time that hosts take to warm up.
 #[test]
 fn a_dead_zone_is_evacuated_and_returns_in_steps() {
-    let mut world = World::new(3, 0, 0.0);
-    world.run(8).unwrap();
-    let died_at = world.now;
-    world.apply_event(Event::SetHealth(1, Health::Dead));
-    while world.held[1].part > 0.0 {
-        world.run(1).unwrap();
+    let mut simulation = FleetSimulation::new(3, 0, 0.0);
+    simulation.run(8).unwrap();
+    let died_at = simulation.now;
+    simulation.apply_event(Event::SetHealth(1, Health::Dead));
+    while simulation.held[1].part > 0.0 {
+        simulation.run(1).unwrap();
     }
-    assert!(world.now - died_at <= Duration::from_millis(750), "{:?}", world.now - died_at);
-    world.apply_event(Event::SetHealth(1, Health::Well));
-    while world.held[1].stage != Stage::Returning {
-        world.run(1).unwrap();
+    assert!(simulation.now - died_at <= Duration::from_millis(750), "{:?}", simulation.now - died_at);
+    simulation.apply_event(Event::SetHealth(1, Health::Well));
+    while simulation.held[1].stage != Stage::Returning {
+        simulation.run(1).unwrap();
     }
-    let (return_began, mut fractions) = (world.now, vec![world.held[1].part]);
-    while world.held[1].stage != Stage::Serving {
-        world.run(1).unwrap();
-        if fractions.last() != Some(&world.held[1].part) {
-            fractions.push(world.held[1].part);
+    let (return_began, mut fractions) = (simulation.now, vec![simulation.held[1].part]);
+    while simulation.held[1].stage != Stage::Serving {
+        simulation.run(1).unwrap();
+        if fractions.last() != Some(&simulation.held[1].part) {
+            fractions.push(simulation.held[1].part);
         }
     }
     assert!(fractions.windows(2).all(|pair| pair[0] < pair[1]) && fractions.len() >= 9, "{fractions:?}");
-    let took = world.now - return_began;
+    let took = simulation.now - return_began;
     assert!(took <= policy().warm_up_time.mul_f64(1.6), "{took:?}");
 }
 
 /// The hold-down of a flapping zone doubles each time, so that it is evacuated at most four times in a minute.
 #[test]
 fn the_hold_down_of_a_flapping_zone_grows() {
-    let mut world = World::new(2, 0, 0.0);
-    world.run(8).unwrap();
+    let mut simulation = FleetSimulation::new(2, 0, 0.0);
+    simulation.run(8).unwrap();
     for interval in 0..240 {
         let health = if interval / 4 % 2 == 0 { Health::Dead } else { Health::Well };
-        world.apply_event(Event::SetHealth(0, health));
-        world.run(1).unwrap();
+        simulation.apply_event(Event::SetHealth(0, health));
+        simulation.run(1).unwrap();
     }
-    assert!((2..=4).contains(&world.evacuations[0].len()), "{:?}", world.evacuations[0]);
+    assert!((2..=4).contains(&simulation.evacuations[0].len()), "{:?}", simulation.evacuations[0]);
 }
 
 /// A service that restarts during a return continues from the step that its followers hold.
 #[test]
 fn a_return_continues_after_a_restart_of_its_service() {
-    let mut world = World::new(2, 0, 0.0);
-    world.run(8).unwrap();
-    world.apply_event(Event::SetHealth(0, Health::Dead));
-    world.run(6).unwrap();
-    world.apply_event(Event::SetHealth(0, Health::Well));
-    while world.held[0].part < 0.4 {
-        world.run(1).unwrap();
+    let mut simulation = FleetSimulation::new(2, 0, 0.0);
+    simulation.run(8).unwrap();
+    simulation.apply_event(Event::SetHealth(0, Health::Dead));
+    simulation.run(6).unwrap();
+    simulation.apply_event(Event::SetHealth(0, Health::Well));
+    while simulation.held[0].part < 0.4 {
+        simulation.run(1).unwrap();
     }
-    let (fraction, epoch) = (world.held[0].part, world.held[0].epoch);
-    world.apply_event(Event::ServiceRestart);
-    world.run(5).unwrap();
-    assert!(world.held[0].epoch >= epoch && world.held[0].part >= fraction - 0.2, "{:?}", world.held[0]);
-    world.run(30).unwrap();
-    assert_eq!(world.held[0].stage, Stage::Serving);
+    let (fraction, epoch) = (simulation.held[0].part, simulation.held[0].epoch);
+    simulation.apply_event(Event::ServiceRestart);
+    simulation.run(5).unwrap();
+    assert!(
+        simulation.held[0].epoch >= epoch && simulation.held[0].part >= fraction - 0.2,
+        "{:?}",
+        simulation.held[0]
+    );
+    simulation.run(30).unwrap();
+    assert_eq!(simulation.held[0].stage, Stage::Serving);
 }
 
 /// The last well zone is not evacuated, and operators are shown the reason. Where all zones are dead none is evacuated: the
 /// cause is then not in a single zone.
 #[test]
 fn the_last_zone_is_never_evacuated() {
-    let mut world = World::new(2, 0, 0.0);
-    world.run(8).unwrap();
-    world.apply_event(Event::SetHealth(0, Health::Dead));
-    world.apply_event(Event::SetHealth(1, Health::Dead));
-    world.run(20).unwrap();
-    assert!(world.held.iter().all(|held| held.part == 1.0), "{:?}", world.held);
-    assert!(world.controller.zones.iter().any(|zone| zone.why == Why::Last));
+    let mut simulation = FleetSimulation::new(2, 0, 0.0);
+    simulation.run(8).unwrap();
+    simulation.apply_event(Event::SetHealth(0, Health::Dead));
+    simulation.apply_event(Event::SetHealth(1, Health::Dead));
+    simulation.run(20).unwrap();
+    assert!(simulation.held.iter().all(|held| held.part == 1.0), "{:?}", simulation.held);
+    assert!(simulation.controller.zones.iter().any(|zone| zone.why == Why::Last));
 }
 
-/// Where the remaining zones have the capacity for 80% of the traffic, the rest is shed and the verdict says so. A live zone
-/// that is evacuated by an operator's order keeps what the others lack the capacity for.
+/// Where the remaining zones have the capacity for 80% of the traffic, the rest is shed and the verdict states the
+/// fraction. A live zone that is evacuated by an operator's order keeps what the others lack the capacity for.
 #[test]
 fn the_remaining_zones_are_sent_no_more_than_their_capacity() {
-    let mut world = World::new(2, 0, 1152.0);
-    world.run(20).unwrap();
-    world.apply_event(Event::SetHealth(0, Health::Dead));
-    world.run(12).unwrap();
-    let shed_fraction = world.held.iter().map(|held| held.sheds).fold(0.0, f64::max);
-    assert!((0.1..0.3).contains(&shed_fraction), "{:?}", world.held);
-    let mut world = World::new(2, 0, 1152.0);
-    world.run(20).unwrap();
-    world.apply_event(Event::Order(0, Order::Leave));
-    world.run(4).unwrap();
-    assert!((0.2..0.6).contains(&world.held[0].part), "{:?}", world.held);
+    let mut simulation = FleetSimulation::new(2, 0, 1152.0);
+    simulation.run(20).unwrap();
+    simulation.apply_event(Event::SetHealth(0, Health::Dead));
+    simulation.run(12).unwrap();
+    let shed_fraction = simulation.held.iter().map(|held| held.sheds).fold(0.0, f64::max);
+    assert!((0.1..0.3).contains(&shed_fraction), "{:?}", simulation.held);
+    let mut simulation = FleetSimulation::new(2, 0, 1152.0);
+    simulation.run(20).unwrap();
+    simulation.apply_event(Event::Order(0, Order::Leave));
+    simulation.run(4).unwrap();
+    assert!((0.2..0.6).contains(&simulation.held[0].part), "{:?}", simulation.held);
 }
--- a/crates/zones/tests/shedding.rs
+++ b/crates/zones/tests/shedding.rs
@@ -42,8 +42,8 @@
     history
 }
 
-/// Retries make the traffic look larger by half as the zone is evacuated, and a hot key is shed with the rest. What is let
-/// in afterwards grows in steps, so that the return of the hot key does not overload the remaining zones.
+/// Retries make the traffic look larger by half as the zone is evacuated, and a hot key is shed with the rest. The GETs
+/// admitted afterwards grow in steps, so that the return of the hot key does not overload the remaining zones.
 #[test]
 fn lowering_the_shed_fraction_does_not_overload_the_remaining_zones() {
     for share in [0.05, 0.1, 0.15, 0.2, 0.25] {
