--- a/crates/control/src/ads_server.rs
+++ b/crates/control/src/ads_server.rs
@@ -100,7 +100,7 @@
     StreamLimit,
     /// The stream subscribes to too many names, or to a name that is too long.
     SubscriptionLimit,
-    /// A message was not acknowledged within the time-out.
+    /// A message was not acknowledged within the timeout.
     AckTimeout,
 }
 
@@ -328,7 +328,7 @@
         Ok(id)
     }
 
-    /// Forgets a stream that has ended.
+    /// Drops the state of a stream that has ended.
     pub fn close_stream(&mut self, id: StreamId) {
         self.streams.try_remove(id);
         self.admission_queue.retain(|&waiting| waiting != id);
@@ -445,7 +445,7 @@
             Priority::Ordinary => next_ordinary(stream, cache, *lease, now),
         };
         if message.is_none() && priority == Priority::Heartbeat && now >= stream.next_heartbeat {
-            // The lease can't be renewed now. The next check comes well within a lease.
+            // The lease cannot be renewed now. The next check comes well within a lease.
             stream.next_heartbeat = stream.next_heartbeat.max(now + lease.renew_interval / 4);
         }
         let mut message = message?;
@@ -530,7 +530,7 @@
     let Some(position) =
         subscription.unacked.iter().position(|unacked_message| Some(unacked_message.sequence) == sequence)
     else {
-        // The nonce of a lease renewal, or of an older message: it says nothing about the unacknowledged messages.
+        // The nonce of a lease renewal, or of an older message: it is no response to any of the unacknowledged messages.
         counters.stale_nonces += 1;
         return;
     };
@@ -799,7 +799,7 @@
         && resource_type.is_full_state()
         && (subscription.is_response_due || !handled.is_empty())
     {
-        // The proxy takes what such a response leaves out as removed, so it contains everything.
+        // The proxy treats resources that such a response omits as removed, so it contains all of them.
         let subscribed: Vec<_> =
             cache.all(resource_type).filter(|(name, _)| subscription.is_subscribed(name)).collect();
         resources =
--- a/crates/control/src/client_status.rs
+++ b/crates/control/src/client_status.rs
@@ -27,10 +27,10 @@
     Value { kind: Some(ProtoValue::StringValue(text.to_owned())) }
 }
 
-/// Streams added to a status in one turn of the event loop. A status must not delay a drain.
-const MAX_STREAMS_PER_TURN: usize = 8;
+/// Streams added to a status in one loop iteration. A status must not delay a drain.
+const MAX_STREAMS_PER_ITERATION: usize = 8;
 
-/// A status response that is being built, a few streams per turn of the event loop.
+/// A status response that is being built, a few streams per loop iteration.
 #[derive(Default)]
 pub struct StatusBuilder {
     next: StreamId,
@@ -41,11 +41,11 @@
     /// Adds the next few streams. Returns the response once there are no more.
     pub fn advance(&mut self, server: &AdsServer, now: Duration) -> Option<ClientStatusResponse> {
         let previous_count = self.response.config.len();
-        for stream in server.stream_statuses_from(self.next, now).take(MAX_STREAMS_PER_TURN) {
+        for stream in server.stream_statuses_from(self.next, now).take(MAX_STREAMS_PER_ITERATION) {
             self.next = stream.id + 1;
             self.response.config.push(client_config(&stream));
         }
-        let is_complete = self.response.config.len() < previous_count + MAX_STREAMS_PER_TURN;
+        let is_complete = self.response.config.len() < previous_count + MAX_STREAMS_PER_ITERATION;
         is_complete.then(|| std::mem::take(&mut self.response))
     }
 }
@@ -102,18 +102,19 @@
     }
 }
 
-/// Fetches the status of a running service. `order` optionally gives it an order: the zone and the order.
+/// Fetches the status of a running service. If `order` has a zone and an order for it, the service applies the order
+/// first.
 pub fn fetch(
     address: SocketAddr,
     order: Option<(&str, &str)>,
     timeout: Duration,
 ) -> Result<ClientStatusResponse, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("can't start the async runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot start the async runtime: {e}"))?;
     runtime.block_on(async {
         let request = async {
             let client = csds::ClientStatusDiscoveryServiceClient::connect(format!("http://{address}")).await;
-            let client = client.map_err(|e| format!("can't connect to {address}: {e}"))?;
+            let client = client.map_err(|e| format!("cannot connect to {address}: {e}"))?;
             let mut client = client.max_decoding_message_size(MAX_RESPONSE_BYTES);
             let node = order.map(|(zone, order)| Node {
                 id: "operator".into(),
@@ -145,8 +146,8 @@
     Some((text_field("zone")?, text_field("order")?))
 }
 
-/// Formats the table of zones. `votes` adds the vote of each member.
-pub fn format_zones(status: &ClientStatusResponse, votes: bool) -> String {
+/// Formats the table of zones, with the vote of each member if `with_votes` is set.
+pub fn format_zones(status: &ClientStatusResponse, with_votes: bool) -> String {
     let mut out = String::new();
     let headers = [
         "stage", "part", "why", "order", "epoch", "step", "backs", "since ms", "sheds", "asked/s", "bears/s",
@@ -174,7 +175,7 @@
             let _ = write!(out, " {:>9}", cell(name));
         }
         let _ = writeln!(out, "  {}/{}/{} of {}", cell("well"), cell("ill"), cell("dead"), cell("members"));
-        if votes {
+        if with_votes {
             let _ = writeln!(out, "    {}", cell("votes"));
         }
     }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -21,9 +21,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a removed host is remembered. After this, no proxy can still refer to it.
+/// How long a removed host is kept. After this, no proxy can still refer to it.
 const REMOVED_HOST_RETENTION: Duration = Duration::from_secs(60);
-/// Connect time-out published to proxies. It is below the shortest grace, since a host may drain meanwhile.
+/// Connect timeout published to proxies. It is below the shortest grace, since a host may drain meanwhile.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// An assignment contains a whole tier, so increases (the key fraction of a cold host) are collected for this long before
 /// it is published again. Drains, removals and decreases are published at once. The cost: a cold host warms up slightly
@@ -356,7 +356,7 @@
         }
     }
 
-    /// Publishes what changed since the last time. `proxies` is the number of proxies that share the limits on fills.
+    /// Publishes all changes since the last call. `proxies` is the number of proxies that share the limits on fills.
     pub fn publish(&mut self, server: &mut AdsServer, proxies: usize, now: Duration, unix_ms: u64) {
         let snapshot = self.router.routing_snapshot(now);
         let mut shares: Vec<Option<HostShare>> = vec![None; self.hosts.len()];
@@ -376,10 +376,10 @@
             let identity =
                 |line: Option<&HostLine>| line.map(|line| (line.life, line.draining, line.address));
             let is_urgent = old.is_some() && identity(old) != identity(new);
-            // So is a host whose zone is left.
-            let is_zone_left =
+            // So is a host whose zone is evacuated.
+            let is_zone_evacuated =
                 self.withheld_fractions.get(host.entry.zone).is_some_and(|fraction| *fraction >= 1.0);
-            let is_urgent = is_urgent || is_zone_left && old.is_some_and(|line| line.part > 0.0);
+            let is_urgent = is_urgent || is_zone_evacuated && old.is_some_and(|line| line.part > 0.0);
             let (tier, name) = match (old, new) {
                 (_, Some(line)) | (Some(line), None) => (line.tier as usize, line.resource_name()),
                 (None, None) => continue,
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -15,15 +15,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a received fact can't be reverted by an instance that may not have received it yet. Change log entries reach
+/// How long a received fact cannot be reverted by an instance that may not have received it yet. Change log entries reach
 /// every instance within seven seconds.
 const NEWER_FACT_TIMEOUT_MS: u64 = 8000;
 /// Resolution to which accepted ages are rounded.
 const TIME_RESOLUTION: Duration = Duration::from_millis(2);
-/// Removed hosts that are remembered, so that an instance that lags behind can't bring them back.
+/// Maximum number of recorded removed hosts. An instance that lags behind cannot bring these back.
 const MAX_REMOVED_HOSTS: usize = 4096;
 
-/// The properties of a GET that decide where it goes.
+/// The properties of a GET that determine its cache and source.
 #[derive(Clone, Copy, Debug)]
 pub struct GetKey<'a> {
     pub service: &'a str,
@@ -126,14 +126,14 @@
                 Ok(())
             }
             ResourceType::Host => {
-                let endpoint = LbEndpoint::decode(body).map_err(|_| "endpoint can't be decoded")?;
+                let endpoint = LbEndpoint::decode(body).map_err(|_| "endpoint cannot be decoded")?;
                 let line = HostLine::from_endpoint(&endpoint)?;
                 self.update_host(name, line, now_ms);
                 Ok(())
             }
             ResourceType::Assignment => {
                 let assignment =
-                    ClusterLoadAssignment::decode(body).map_err(|_| "assignment can't be decoded")?;
+                    ClusterLoadAssignment::decode(body).map_err(|_| "assignment cannot be decoded")?;
                 let Some(tier) = Tier::from_name(&assignment.cluster_name) else { return Ok(()) };
                 let endpoints = assignment.endpoints.iter().flat_map(|locality| &locality.lb_endpoints);
                 let lines = endpoints.map(HostLine::from_endpoint).collect::<Result<Vec<_>, _>>()?;
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Updates a host, unless the update is older than what is known and less strict. A drain is always applied, since a
-    /// wrong drain costs little.
+    /// Updates a host, unless the update is older than the known facts and less strict. A drain is always applied,
+    /// since a wrong drain costs little.
     fn update_host(&mut self, name: &str, line: HostLine, now_ms: u64) {
         let order = (line.life, line.draining);
         let is_recent = |since_ms: u64| now_ms < since_ms + NEWER_FACT_TIMEOUT_MS;
--- a/crates/control/src/grpc.rs
+++ b/crates/control/src/grpc.rs
@@ -25,7 +25,7 @@
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Status, Streaming};
 
-/// Messages of one stream that may wait for the network. Only a few, since urgent messages can't overtake them.
+/// Messages of one stream that may wait for the network. Only a few, since urgent messages cannot overtake them.
 pub const OUTBOX_CAPACITY: usize = 4;
 /// Requests of one stream that may wait for the event loop. Further ones are left unread.
 const MAX_PENDING_REQUESTS: usize = 8;
@@ -33,7 +33,7 @@
 const MAX_REQUEST_BYTES: usize = 1024 * 1024;
 /// Concurrent streams of one connection, used for ADS, load reports and status.
 const MAX_STREAMS_PER_CONNECTION: u32 = 8;
-/// HTTP/2 keep-alive interval and time-out. A dead connection is detected within the sum of both.
+/// HTTP/2 keep-alive interval and timeout. A dead connection is detected within the sum of both.
 const KEEPALIVE: Duration = Duration::from_secs(10);
 
 /// Identifies a gRPC stream. Never reused.
@@ -350,8 +350,8 @@
 ) -> Result<(), String> {
     let frontend = Frontend { events, next_stream_id: Arc::new(AtomicU64::new(0)), reports_every };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("can't start the gRPC runtime: {e}"))?;
-    listener.set_nonblocking(true).map_err(|e| format!("can't make the gRPC listener non-blocking: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot start the gRPC runtime: {e}"))?;
+    listener.set_nonblocking(true).map_err(|e| format!("cannot make the gRPC listener non-blocking: {e}"))?;
     let run = move || {
         let result = runtime.block_on(async move {
             let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| e.to_string())?;
@@ -378,5 +378,5 @@
         }
     };
     let thread = std::thread::Builder::new().name("grpc".into()).spawn(run);
-    thread.map(drop).map_err(|e| format!("can't start the gRPC thread: {e}"))
+    thread.map(drop).map_err(|e| format!("cannot start the gRPC thread: {e}"))
 }
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -1,13 +1,13 @@
 //! The lease: for how long a proxy may continue without a message from its control service.
 //!
-//! A proxy that is cut off can't be told of a drain or a purge, so the published state holds for a limited time only, the
-//! lease. It is counted from when the control service wrote the message (its nonce contains that time), not from when the
-//! message arrived, so that a message with a long delay in transit does not last longer.
+//! A proxy that is cut off cannot be informed of a drain or a purge, so the published state holds for a limited time
+//! only, the lease. It is counted from when the control service wrote the message (its nonce contains that time), not
+//! from when the message arrived, so that a message with a long delay in transit does not last longer.
 //!
-//! A drain or purge published at time `t` is written after every lease stamped before `t` on the same ordered stream, so a
-//! proxy that does not know of it has a lease stamped at `t` or before. Such a proxy stops using the old state at `t + ttl`
-//! by a clock that is at most `clock error` off, and what it sent just before reaches its host `MAX_SEND_DELAY` later.
-//! Hence `ttl + clock error + MAX_SEND_DELAY = the shortest grace`.
+//! A drain or purge published at time `t` is written after every lease stamped before `t` on the same ordered stream,
+//! so a proxy that has not received it has a lease stamped at `t` or before. Such a proxy stops using the old state at
+//! `t + ttl` by a clock that is at most `clock error` off, and what it sent just before reaches its host
+//! `MAX_SEND_DELAY` later. Hence `ttl + clock error + MAX_SEND_DELAY = the shortest grace`.
 
 use std::time::Duration;
 
--- a/crates/control/src/load_reports.rs
+++ b/crates/control/src/load_reports.rs
@@ -1,9 +1,9 @@
 //! Load reports of proxies, and their summary for the decision module: one outcome per host and interval, and counts of
 //! fills. Does no I/O.
 //!
-//! A report counts only as far as one proxy can know. Its outcomes for a host are one vote, however many GETs it names, so
-//! that a proxy that lies or is itself cut off can't exclude a host that others reach. A report with an impossible number is
-//! rejected as a whole.
+//! A report counts only as far as one proxy can know. Its outcomes for a host are one vote, however many GETs it names,
+//! so that a proxy that reports falsely or is itself cut off cannot exclude a host that others reach. A report with an
+//! impossible number is rejected as a whole.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 /// Fraction of the interval after which another report of the same proxy is accepted. Clocks differ, but a repetition of
 /// the previous report has no new information.
 const MIN_INTERVAL_FRACTION: f64 = 0.5;
-/// Maximum number of remembered proxies, so that invented names can't fill the memory.
+/// Maximum number of recorded proxies, so that made-up names cannot fill the memory.
 const MAX_PROXIES: usize = 4096;
 
 /// The outcomes of GETs of one proxy at one host in one interval.
@@ -45,7 +45,7 @@
     OutOfRange,
     /// The previous report of this proxy is too recent.
     TooSoon,
-    /// The maximum number of proxies is already remembered.
+    /// The maximum number of proxies is already recorded.
     TooManyProxies,
 }
 
@@ -173,7 +173,7 @@
         self.last_report.retain(|_, at| now < *at + interval * 8);
         let votes = std::mem::take(&mut self.votes);
         let fills = std::mem::take(&mut self.fills);
-        let count = |n: u64| u32::try_from(n).unwrap_or(u32::MAX);
+        let count = |sum: u64| u32::try_from(sum).unwrap_or(u32::MAX);
         Some(Summary {
             outcomes: votes
                 .into_iter()
@@ -205,27 +205,27 @@
     #[test]
     fn one_proxy_has_one_vote_however_many_gets_it_reports() {
         let mut reports = LoadReports::new(ms(500), ms(0));
-        reports.add("liar", &[report(0, 0, 900_000)], ms(1)).unwrap();
+        reports.add("false-reporter", &[report(0, 0, 900_000)], ms(1)).unwrap();
         reports.add("a", &[report(0, 3, 0)], ms(1)).unwrap();
         reports.add("b", &[report(0, 3, 1)], ms(1)).unwrap();
         assert_eq!(reports.close_interval(ms(499)), None);
         assert_eq!(reports.close_interval(ms(500)).unwrap().outcomes, [(0, true)]);
         // A further report too soon after the last one has no effect.
-        assert_eq!(reports.add("liar", &[report(0, 0, 1)], ms(200)), Err(ReportError::TooSoon));
+        assert_eq!(reports.add("false-reporter", &[report(0, 0, 1)], ms(200)), Err(ReportError::TooSoon));
         assert_eq!(reports.close_interval(ms(1000)).unwrap().outcomes, []);
     }
 
     #[test]
     fn a_report_with_an_out_of_range_number_is_rejected_as_a_whole() {
         let mut reports = LoadReports::new(ms(500), ms(0));
-        let fills = |all, bad| HostReport {
-            fills: vec![FillCounts { ds: 0, total: all, late_or_failed: bad, in_flight: 0 }],
+        let fills = |total, late_or_failed| HostReport {
+            fills: vec![FillCounts { ds: 0, total, late_or_failed, in_flight: 0 }],
             ..report(1, 5, 5)
         };
         let late = HostReport { late: u64::MAX, ..report(1, 5, 5) };
         let counts = [fills(u64::MAX, 0.0), report(1, u64::MAX, 9), late];
-        for absurd in [fills(3, f64::NAN), fills(3, -1.0), fills(3, 4.0)].into_iter().chain(counts) {
-            assert_eq!(reports.add("a", &[report(0, 0, 9), absurd], ms(1)), Err(ReportError::OutOfRange));
+        for invalid in [fills(3, f64::NAN), fills(3, -1.0), fills(3, 4.0)].into_iter().chain(counts) {
+            assert_eq!(reports.add("a", &[report(0, 0, 9), invalid], ms(1)), Err(ReportError::OutOfRange));
         }
         let twice = [report(0, 0, 9), report(0, 0, 9)];
         assert_eq!(reports.add("a", &twice, ms(1)), Err(ReportError::OutOfRange));
@@ -234,7 +234,7 @@
     }
 
     #[test]
-    fn the_number_of_remembered_proxies_is_bounded() {
+    fn the_number_of_recorded_proxies_is_bounded() {
         let mut reports = LoadReports::new(ms(500), ms(0));
         for index in 0..MAX_PROXIES {
             reports.add(&format!("n{index}"), &[], ms(1)).unwrap();
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -200,7 +200,8 @@
         }
     }
 
-    /// Decodes an endpoint. Fails with what is missing or invalid if it was not made by a control service of this kind.
+    /// Decodes an endpoint. The error names a missing or invalid item, as in an endpoint of another kind of control
+    /// service.
     pub fn from_endpoint(message: &endpoint::LbEndpoint) -> Result<Self, &'static str> {
         let Some(endpoint::lb_endpoint::HostIdentifier::Endpoint(endpoint)) = &message.host_identifier else {
             return Err("endpoint has no address");
@@ -209,7 +210,7 @@
             endpoint.address.as_ref().and_then(parse_address).ok_or("endpoint has no IP address")?;
         let metadata =
             message.metadata.as_ref().and_then(|metadata| metadata.filter_metadata.get(METADATA_NAMESPACE));
-        let fields = metadata.ok_or("an endpoint without our metadata")?;
+        let fields = metadata.ok_or("endpoint has no myrtlegauge metadata")?;
         let number =
             |name: &str| number_field(fields, name).ok_or("endpoint metadata lacks a required number");
         let text = |name: &str| text_field(fields, name).ok_or("endpoint metadata lacks a required text");
@@ -239,12 +240,12 @@
 
 /// Decodes a notice into its name and fields.
 pub fn decode_notice(body: &[u8]) -> Result<(String, Struct), &'static str> {
-    let notice = core::TypedExtensionConfig::decode(body).map_err(|_| "notice can't be decoded")?;
+    let notice = core::TypedExtensionConfig::decode(body).map_err(|_| "notice cannot be decoded")?;
     let config = notice
         .typed_config
         .filter(|any| any.type_url == STRUCT_TYPE_URL)
         .ok_or("notice has an unknown type of content")?;
-    let fields = Struct::decode(&*config.value).map_err(|_| "notice fields can't be decoded")?;
+    let fields = Struct::decode(&*config.value).map_err(|_| "notice fields cannot be decoded")?;
     Ok((notice.name, fields))
 }
 
@@ -255,7 +256,7 @@
         notice(name, fields([at, ("until_unix_ms", number_value(self.until_unix_ms as f64))]))
     }
 
-    /// Decodes the fields of a notice. Fails with what is missing or invalid.
+    /// Decodes the fields of a notice. The error names a missing or invalid item.
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let number = |name: &str| number_field(fields, name).ok_or("purge notice lacks a time");
         Ok(Self { at_unix_ms: number("at_unix_ms")? as u64, until_unix_ms: number("until_unix_ms")? as u64 })
@@ -319,7 +320,7 @@
         notice(name, self.fields())
     }
 
-    /// Decodes the fields of a notice. Fails with what is missing or invalid.
+    /// Decodes the fields of a notice. The error names a missing or invalid item.
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let number = |name: &str| number_field(fields, name).ok_or("zone verdict lacks a required number");
         let stage = text_field(fields, "stage").ok_or("zone verdict lacks its stage")?;
@@ -386,7 +387,7 @@
         )
     }
 
-    /// Decodes the fields of a notice. Fails with what is missing or invalid.
+    /// Decodes the fields of a notice. The error names a missing or invalid item.
     pub fn from_fields(fields: &Struct) -> Result<Self, &'static str> {
         let duration = |name: &str| {
             let ms = number_field(fields, name).ok_or("service terms lack a duration")?;
--- a/crates/control/src/resource_cache.rs
+++ b/crates/control/src/resource_cache.rs
@@ -7,7 +7,7 @@
 
 /// The published resource types, in the order in which a proxy must receive them, so that no resource is referenced before
 /// it exists. Notices (purges, terms of delivery services) and hosts depend on nothing; assignments carry the lease, so
-/// they follow what the lease covers.
+/// they follow the resources that the lease covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ResourceType {
     Notice,
@@ -43,8 +43,8 @@
         RESOURCE_TYPES.into_iter().find(|resource_type| resource_type.type_url() == url)
     }
 
-    /// Whether a state-of-the-world response of this type contains every subscribed resource, so that what it leaves out is
-    /// removed.
+    /// Whether a state-of-the-world response of this type contains every subscribed resource, so that resources that it
+    /// omits are removed.
     pub fn is_full_state(self) -> bool {
         self == ResourceType::Cluster
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -33,9 +33,10 @@
 const BLOCKED_RETRY: Duration = Duration::from_millis(2);
 /// Size of the read buffer for change log polls.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Messages of one priority to one stream in one turn, so that a stream with many pending messages does not delay others.
-const MAX_MESSAGES_PER_TURN: usize = 4;
-/// Status requests that may wait. Each response is built a few streams per turn.
+/// Messages of one priority to one stream in one loop iteration, so that a stream with many pending messages does not
+/// delay others.
+const MAX_MESSAGES_PER_ITERATION: usize = 4;
+/// Status requests that may wait. Each response is built a few streams per loop iteration.
 const MAX_PENDING_STATUSES: usize = 4;
 /// Minimum time between two warnings.
 const WARNING_INTERVAL: Duration = Duration::from_millis(1000);
@@ -53,15 +54,25 @@
 /// Counters for operators.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
+    /// Opened streams.
     pub opened: u64,
+    /// Streams that ended.
     pub closed: u64,
+    /// Streams rejected at the limit.
     pub rejected: u64,
+    /// Received discovery requests.
     pub requests: u64,
+    /// Accepted events of the change log.
     pub events: u64,
+    /// Failed polls of the change log.
     pub failed_polls: u64,
+    /// Restarts of the change log.
     pub log_restarts: u64,
+    /// Messages sent, by priority.
     pub sent_messages: [u64; PRIORITIES.len()],
+    /// Iterations of the event loop.
     pub turns: u64,
+    /// The longest iteration, in microseconds.
     pub longest_turn_us: u64,
 }
 
@@ -89,6 +100,7 @@
     must_publish: bool,
     next_warning_at: Duration,
     suppressed_warnings: u64,
+    /// The counters since the start.
     pub counters: Counters,
     is_stopping: bool,
 }
@@ -108,36 +120,36 @@
 /// Runs a control service until a termination signal.
 pub fn run(path: PathBuf, file: &OperatorFile) -> Result<(), String> {
     let mut event_loop =
-        EventLoop::<Service>::try_new().map_err(|e| format!("can't create the event loop: {e}"))?;
+        EventLoop::<Service>::try_new().map_err(|e| format!("cannot create the event loop: {e}"))?;
     let control = file.control.as_ref().ok_or("the operator file has no control section")?;
     let listener =
-        TcpListener::bind(control.listen).map_err(|e| format!("can't listen on {}: {e}", control.listen))?;
+        TcpListener::bind(control.listen).map_err(|e| format!("cannot listen on {}: {e}", control.listen))?;
     let address =
-        listener.local_addr().map_err(|e| format!("can't read the address of the listener: {e}"))?;
+        listener.local_addr().map_err(|e| format!("cannot read the address of the listener: {e}"))?;
     let (event_sender, event_receiver) = channel::channel();
     let inserted = event_loop.handle().insert_source(event_receiver, |event, _, service| {
         if let channel::Event::Msg(service_event) = event {
             service.events.push(service_event);
         }
     });
-    inserted.map_err(|e| format!("can't add the gRPC events to the event loop: {e}"))?;
+    inserted.map_err(|e| format!("cannot add the gRPC events to the event loop: {e}"))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP])
-        .map_err(|e| format!("can't create the signal source: {e}"))?;
+        .map_err(|e| format!("cannot create the signal source: {e}"))?;
     let watched =
         event_loop.handle().insert_source(signals, move |signal, _, service| match signal.signal() {
             Signal::SIGUSR1 => service.log_counters(),
             Signal::SIGHUP => service.reload(&path),
             _ => service.is_stopping = true,
         });
-    watched.map_err(|e| format!("can't add the signal source to the event loop: {e}"))?;
+    watched.map_err(|e| format!("cannot add the signal source to the event loop: {e}"))?;
     let mut service = Service::new(event_loop.handle(), file, control)?;
     grpc::serve(listener, event_sender, control.reports_every)?;
     log::info!(address:%; "{} serves routing decisions", service.name);
     while !service.is_stopping {
         event_loop
-            .dispatch(service.wait_timeout(), &mut service)
+            .dispatch(service.poll_timeout(), &mut service)
             .map_err(|e| format!("the event loop failed: {e}"))?;
-        service.run_turn();
+        service.process_events();
     }
     service.log_counters();
     Ok(())
@@ -209,7 +221,7 @@
     }
 
     /// How long the event loop may wait for events.
-    fn wait_timeout(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         let change_log_deadline =
             self.change_log.as_ref().map_or(Duration::MAX, |change_log| change_log.deadline);
         let mut deadline = self
@@ -224,8 +236,8 @@
         if is_idle { deadline.saturating_sub(self.fleet.clock().now()) } else { Duration::ZERO }
     }
 
-    /// Handles everything received since the last turn and sends everything that may be sent.
-    fn run_turn(&mut self) {
+    /// Handles everything received since the last loop iteration and sends everything that may be sent.
+    fn process_events(&mut self) {
         self.now = self.fleet.clock().now();
         let started = self.now;
         self.poll_change_log();
@@ -302,7 +314,7 @@
             Ok(changes) => changes,
             Err(e) => {
                 self.counters.failed_polls += 1;
-                self.warn(&format!("can't decode an answer of the change log, reconnecting: {e}"));
+                self.warn(&format!("cannot decode an answer of the change log, reconnecting: {e}"));
                 return change_log.disconnect(self.now);
             }
         };
@@ -324,13 +336,13 @@
                 SequenceCheck::Duplicate => continue,
                 SequenceCheck::GapRetried(last) => {
                     return self.warn(&format!(
-                        "change log skipped from event {last} to {}, requesting the missing events again",
+                        "sequence gap in the change log, from {last} to {}; requesting the events after {last} again",
                         change.seq
                     ));
                 }
                 SequenceCheck::GapAccepted(last) => {
                     self.warn(&format!(
-                        "change log skipped from event {last} to {}, continuing without the missing events",
+                        "sequence gap in the change log, from {last} to {}; continuing without the missing events",
                         change.seq
                     ));
                 }
@@ -403,7 +415,7 @@
                 let no_zones = || Err("this control service does not decide on zones".to_owned());
                 let now = self.now;
                 let result =
-                    self.zones.as_mut().map_or_else(no_zones, |zones| zones.order(&zone, &order, now));
+                    self.zones.as_mut().map_or_else(no_zones, |zones| zones.apply_order(&zone, &order, now));
                 match result {
                     Ok(()) => {
                         self.update_zones();
@@ -439,7 +451,7 @@
         self.is_blocked = false;
         let unix_ms = unix_ms();
         for (priority, sent) in PRIORITIES.into_iter().zip(&mut self.counters.sent_messages) {
-            // Messages in the outbox can't be overtaken, so an ordinary message is only sent into an empty one, and some
+            // Messages in the outbox cannot be overtaken, so an ordinary message is only sent into an empty one, and some
             // capacity is kept for urgent messages.
             let required_capacity = match priority {
                 Priority::Urgent => 1,
@@ -447,7 +459,7 @@
                 Priority::Ordinary => OUTBOX_CAPACITY,
             };
             for proxy in self.proxies.values() {
-                for _ in 0..MAX_MESSAGES_PER_TURN {
+                for _ in 0..MAX_MESSAGES_PER_ITERATION {
                     if proxy.sender.capacity() < required_capacity {
                         self.is_blocked |= priority == Priority::Urgent || !self.server.is_idle(proxy.stream);
                         break;
--- a/crates/control/src/zoning.rs
+++ b/crates/control/src/zoning.rs
@@ -12,7 +12,7 @@
 use myrtlegauge_zones::{EvacuationController, HostEvidence, Order, Verdict, ZonePolicy};
 use std::time::Duration;
 
-/// The outcomes at one host in a load report.
+/// The outcomes of GETs at one host in a load report.
 #[derive(Clone, Copy, Debug)]
 pub struct HostOutcomes {
     pub zone: usize,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Advances the decisions. Returns whether there is something new to publish.
+    /// Updates the verdicts. Returns whether any changed and is to be published.
     pub fn tick(&mut self, now: Duration) -> bool {
         self.fleet.tick(now)
     }
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     /// The zone or the order is unknown. The error lists the known ones.
-    pub fn order(&mut self, zone: &str, order: &str, now: Duration) -> Result<(), String> {
+    pub fn apply_order(&mut self, zone: &str, order: &str, now: Duration) -> Result<(), String> {
         let index = self.fleet.zones.iter().position(|known| known.name == zone).ok_or_else(|| {
             let names: Vec<_> = self.fleet.zones.iter().map(|known| known.name.as_str()).collect();
             format!("unknown zone {zone:?}; the zones are {}", names.join(", "))
--- a/crates/control/tests/decisions.rs
+++ b/crates/control/tests/decisions.rs
@@ -196,10 +196,11 @@
     };
     record(&mut control, "idle");
     let origin = control.fleet.entries().map(|entry| entry.host).last().unwrap();
-    for bad in [0, 4] {
-        let fills = Summary { outcomes: Vec::new(), fills: vec![(origin, 1, 2 + bad, bad, 3)] };
+    for late_or_failed in [0, 4] {
+        let fills =
+            Summary { outcomes: Vec::new(), fills: vec![(origin, 1, 2 + late_or_failed, late_or_failed, 3)] };
         control.fleet.on_load_summary(&fills, control.now);
-        record(&mut control, &format!("{} fills, {bad} of them slow", 2 + bad));
+        record(&mut control, &format!("{} fills, {late_or_failed} of them slow", 2 + late_or_failed));
     }
     control.advance_time(ms(6000));
     record(&mut control, "after the window");
@@ -287,8 +288,8 @@
     for proxy in &mut proxies {
         proxy.handle_all(&mut control);
         assert!(proxy.follower.host("cache-0").is_none());
-        let part = proxy.follower.host("cache-77").unwrap().part;
-        assert!(part > 0.0 && part < 0.25, "{part}");
+        let key_fraction = proxy.follower.host("cache-77").unwrap().part;
+        assert!(key_fraction > 0.0 && key_fraction < 0.25, "{key_fraction}");
     }
 }
 
--- a/crates/control/tests/out_of_range_reports.rs
+++ b/crates/control/tests/out_of_range_reports.rs
@@ -64,7 +64,7 @@
         endpoint::UpstreamLocalityStats { upstream_endpoint_stats: stats.collect(), ..Default::default() };
     let cluster = endpoint::ClusterStats { upstream_locality_stats: vec![locality], ..Default::default() };
     LoadStatsRequest {
-        node: Some(Node { id: format!("liar-{index}"), ..Default::default() }),
+        node: Some(Node { id: format!("false-reporter-{index}"), ..Default::default() }),
         cluster_stats: vec![cluster],
     }
 }
--- a/crates/control/tests/streams.rs
+++ b/crates/control/tests/streams.rs
@@ -247,7 +247,7 @@
         resource_names: names,
         ..Request::default()
     };
-    let too_many_names = (0..10_000).map(|n| format!("caches/{n}")).collect();
+    let too_many_names = (0..10_000).map(|index| format!("caches/{index}")).collect();
     assert_eq!(
         server.on_request(first, &request(too_many_names, ResourceType::Host.type_url()), ms(0)),
         Err(StreamEndReason::SubscriptionLimit)
