--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -15,37 +15,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members asked for an indirect probe: with three, one bad network path among them does not matter.
+/// The number of members that are requested to probe indirectly: with three, one bad network path among them does not
+/// matter.
 const INDIRECT_PROBES: usize = 3;
 /// Members that receive a change at once. The others receive it with messages that are sent anyway.
 const IMMEDIATE_GOSSIP: usize = 3;
 /// The retransmit limit of a record, for each doubling of the fleet.
 const RETRANSMITS_PER_DOUBLING: u32 = 3;
-/// Between two exchanges with the same suspect.
+/// The time between two exchanges with the same suspect.
 const SUSPECT_EXCHANGE_INTERVAL: Duration = Duration::from_millis(1000);
 /// The minimum time between two anti-entropy exchanges.
 const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_secs(15);
 /// The bytes a second that anti-entropy exchanges may come to, at any size of the fleet.
 const EXCHANGE_BYTES_PER_SECOND: f64 = 250.0;
-/// Between two attempts to reach a dead member, or a seed peer that is not known.
+/// The time between two attempts to reach a dead member, or a seed peer that is not known.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(1500);
 /// After this time a dead member no longer counts as part of the last known fleet, where this member reaches most of it.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
-/// Members recorded, so that made-up names cannot fill the memory.
+/// The maximum number of recorded members, so that made-up names cannot fill the memory.
 const MAX_MEMBERS: usize = 4096;
-/// Accusers, and vouchers, recorded for a member.
+/// The maximum number of accusers, and of vouchers, recorded for a member.
 const MAX_WITNESSES: usize = 4;
-/// Indirect probes for other members that may be in progress.
+/// The maximum number of indirect probes for other members in progress.
 const MAX_RELAYED_PROBES: usize = 64;
-/// Exchanges that may be in progress.
+/// The maximum number of exchanges in progress.
 const MAX_EXCHANGES: usize = 32;
 
 /// The identity of this member.
 #[derive(Clone, Debug)]
 pub struct LocalMember {
+    /// The name. It has to be unique in the fleet.
     pub name: String,
     /// Where others reach it, by datagrams and by connections.
     pub address: SocketAddr,
+    /// The name of the fleet.
     pub fleet: String,
     /// Unix milliseconds of its start.
     pub generation: u64,
@@ -97,7 +100,7 @@
     seq: u32,
     target: String,
     sent_at: Duration,
-    /// Others were asked to probe the target as well.
+    /// Others were requested to probe the target as well.
     is_indirect: bool,
 }
 
@@ -209,6 +212,7 @@
         first.max(self.now)
     }
 
+    /// This member's current view.
     pub fn view(&self) -> View {
         let count =
             |state| self.members.values().filter(|member| member.counts() && member.state == state).count();
@@ -221,7 +225,7 @@
         View { epoch: self.epoch, alive, suspect, dead, known, reach }
     }
 
-    /// By how many members the capacity of sources is to be divided ([`View::source_sharers`]).
+    /// The number of members by which the capacity of sources is to be divided ([`View::source_sharers`]).
     pub fn source_sharers(&self) -> usize {
         self.view().source_sharers(self.expected_members, self.has_reached_most)
     }
@@ -266,12 +270,12 @@
         let datagram = self.decode_message(bytes, MAX_DATAGRAM_BYTES, |message: &Datagram| message.fleet)?;
         self.advance(now);
         if datagram.from.name == self.local.name {
-            self.learn_of_own_name(&datagram.from);
+            self.merge_own_record(&datagram.from);
             return Ok(());
         }
-        self.learn(&datagram.from, &datagram.from.name);
+        self.merge_record(&datagram.from, &datagram.from.name);
         for record in datagram.records.iter().take(MAX_GOSSIPED_RECORDS) {
-            self.learn(record, &datagram.from.name);
+            self.merge_record(record, &datagram.from.name);
         }
         let sender = datagram.from.address;
         match datagram.body {
@@ -329,7 +333,7 @@
     pub fn on_exchange(&mut self, bytes: &[u8], now: Duration) -> Result<Vec<u8>, MembershipError> {
         let exchange = self.decode_message(bytes, MAX_EXCHANGE_BYTES, |message: &Exchange| message.fleet)?;
         self.advance(now);
-        self.learn_exchange(&exchange);
+        self.merge_exchange(&exchange);
         Ok(self.exchange_message())
     }
 
@@ -349,7 +353,7 @@
             Ok(bytes) => {
                 let exchange =
                     self.decode_message(bytes, MAX_EXCHANGE_BYTES, |message: &Exchange| message.fleet)?;
-                self.learn_exchange(&exchange);
+                self.merge_exchange(&exchange);
                 if let Some(from) = exchange.from.filter(|from| from.name != self.local.name) {
                     self.on_answer(&from.name);
                 }
@@ -373,7 +377,7 @@
         Ok(())
     }
 
-    /// Does what is due: times out probes, sends new ones, begins exchanges, and declares suspects dead.
+    /// Does all work that is due: times out probes, sends new ones, begins exchanges, and declares suspects dead.
     pub fn on_timer(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.advance(now);
         if !self.is_leaving && !self.is_name_taken {
@@ -416,8 +420,9 @@
         decoded.inspect_err(|_| self.rejected_messages += 1)
     }
 
-    /// Advances the time. After a gap nobody is accused for answers that were due meanwhile, since it was this process that
-    /// did not run. This member raises its incarnation, for others may have declared it dead.
+    /// Advances the time. After a pause of this process no member is accused for answers that were due meanwhile, since
+    /// it was this process that did not run. This member raises its incarnation, since others may have declared it
+    /// dead.
     fn advance(&mut self, now: Duration) {
         let late = now.saturating_sub(self.next_timeout().max(self.now));
         self.now = now;
@@ -541,7 +546,7 @@
     }
 
     /// Handles a record under this member's own name: another member has the same name, or this one has to refute it.
-    fn learn_of_own_name(&mut self, record: &MemberRecord) {
+    fn merge_own_record(&mut self, record: &MemberRecord) {
         if record.address != self.local.address {
             let theirs = (record.version.generation, record.address);
             if theirs > (self.local.version.generation, self.local.address) && !self.is_name_taken {
@@ -565,9 +570,9 @@
     }
 
     /// Handles a record of another member, as the named sender reports it.
-    fn learn(&mut self, record: &MemberRecord, sender: &str) {
+    fn merge_record(&mut self, record: &MemberRecord, sender: &str) {
         if record.name == self.local.name {
-            return self.learn_of_own_name(record);
+            return self.merge_own_record(record);
         }
         if record.name.is_empty() || record.name.len() > MAX_NAME_BYTES {
             return;
@@ -651,7 +656,7 @@
                 member.is_reported_left |= record.state == MemberState::Left;
                 if member.state == MemberState::Alive {
                     (member.state, member.since, member.next_exchange) = (MemberState::Suspect, now, now);
-                    // Probed at once: that others suspect it is a reason to ask it, and no more.
+                    // Probed at once: a suspicion of others is a reason to probe the member, and no more.
                     self.next_probe = now;
                     if member.has_answered {
                         self.changes.push(Change::Doubted(record.name.clone()));
@@ -662,18 +667,19 @@
         }
     }
 
-    fn learn_exchange(&mut self, exchange: &Exchange) {
+    fn merge_exchange(&mut self, exchange: &Exchange) {
         let Some(from) = &exchange.from else { return };
         if from.name == self.local.name {
-            return self.learn_of_own_name(from);
+            return self.merge_own_record(from);
         }
-        self.learn(from, &from.name);
+        self.merge_record(from, &from.name);
         for record in &exchange.records {
-            self.learn(record, &from.name);
+            self.merge_record(record, &from.name);
         }
     }
 
-    /// Times out probes: first others are asked for indirect probes, then the probe has failed.
+    /// Times out probes: after the first timeout others are requested to probe indirectly, after the second the probe
+    /// has failed.
     fn time_out_probes(&mut self, actions: &mut Vec<Action>) {
         let timeout = PROBE_TIMEOUT.mul_f64(self.health.multiplier());
         let (now, mut remaining) = (self.now, VecDeque::new());
--- a/crates/membership/src/driver.rs
+++ b/crates/membership/src/driver.rs
@@ -17,19 +17,23 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Datagrams read before the loop's other work continues: a flood must not keep the dispatcher from its GETs.
+/// The maximum number of datagrams read per loop iteration: a flood must not keep the dispatcher from its GETs.
 const MAX_DATAGRAMS_PER_READ: usize = 64;
-/// Exchanges that others may have open here. More of them wait in the listener's queue.
+/// The maximum number of open exchanges that others began. Further ones wait in the listener's queue.
 const MAX_INBOUND_EXCHANGES: usize = 64;
 
 /// The operator's settings of this member.
 #[derive(Clone, Debug)]
 pub struct Startup {
+    /// The name of this member.
     pub name: String,
+    /// The name of the fleet.
     pub fleet: String,
+    /// The address of the datagram socket and of the listener.
     pub listen: SocketAddr,
     /// Where others reach it, if that is another address.
     pub advertised: Option<SocketAddr>,
+    /// The addresses of members to connect to while they are not known.
     pub seed_peers: Vec<SocketAddr>,
     /// The configured number of members.
     pub expected_members: usize,
@@ -37,8 +41,11 @@
 
 /// A change, with the view after it and the number of members that share sources.
 pub struct ViewUpdate<'a> {
+    /// The view after the change.
     pub view: View,
+    /// The number of members that share sources.
     pub source_sharers: usize,
+    /// The change.
     pub change: &'a Change,
 }
 
@@ -83,8 +90,8 @@
         on_change: impl Fn(&mut D, ViewUpdate<'_>) + 'static,
     ) -> Result<Self, MembershipError> {
         let listen = startup.listen;
-        let socket_error = |what: &'static str| {
-            move |error: io::Error| MembershipError::Socket { what, address: listen, error }
+        let socket_error = |socket: &'static str| {
+            move |error: io::Error| MembershipError::Socket { socket, address: listen, error }
         };
         let datagrams = UdpSocket::bind(listen).map_err(socket_error("datagram socket"))?;
         datagrams.set_nonblocking(true).map_err(socket_error("datagram socket"))?;
@@ -114,13 +121,13 @@
             outbound_exchanges: BTreeMap::new(),
             inbound_exchanges: 0,
         })));
-        let loop_error = |what: &'static str| {
-            move |error: calloop::Error| MembershipError::EventLoop { what, error: error.to_string() }
+        let loop_error = |event_source: &'static str| {
+            move |error: calloop::Error| MembershipError::EventLoop { event_source, error: error.to_string() }
         };
         let this = member.clone();
         let source = Generic::new(reader, Interest::READ, Mode::Level);
-        let inserted = event_loop.insert_source(source, move |_, _, owner| {
-            this.read_datagrams(owner);
+        let inserted = event_loop.insert_source(source, move |_, _, loop_data| {
+            this.read_datagrams(loop_data);
             Ok(PostAction::Continue)
         });
         inserted.map_err(|e| loop_error("datagram socket")(e.error))?;
@@ -132,8 +139,8 @@
         });
         inserted.map_err(|e| loop_error("exchange listener")(e.error))?;
         let this = member.clone();
-        let timer = event_loop.insert_source(Timer::immediate(), move |_, (), owner| {
-            this.with_core(owner, |core, now, actions| core.on_timer(now, actions));
+        let timer = event_loop.insert_source(Timer::immediate(), move |_, (), loop_data| {
+            this.with_core(loop_data, |core, now, actions| core.on_timer(now, actions));
             let inner = this.0.borrow();
             let delay = inner.core.next_timeout().saturating_sub(inner.started_at.elapsed());
             TimeoutAction::ToDuration(delay.max(Duration::from_millis(1)))
@@ -142,13 +149,14 @@
         Ok(member)
     }
 
+    /// This member's current view.
     pub fn view(&self) -> View {
         self.0.borrow().core.view()
     }
 
     /// Announces to all live members that this one leaves.
-    pub fn leave(&self, owner: &mut D) {
-        self.with_core(owner, |core, _, actions| core.leave(actions));
+    pub fn leave(&self, loop_data: &mut D) {
+        self.with_core(loop_data, |core, _, actions| core.leave(actions));
     }
 
     /// One line for the report of counters.
@@ -163,7 +171,7 @@
     }
 
     /// Calls the core and carries out the actions that it returns.
-    fn with_core(&self, owner: &mut D, call: impl FnOnce(&mut Membership, Duration, &mut Vec<Action>)) {
+    fn with_core(&self, loop_data: &mut D, call: impl FnOnce(&mut Membership, Duration, &mut Vec<Action>)) {
         let mut actions = Vec::new();
         {
             let mut inner = self.0.borrow_mut();
@@ -180,18 +188,18 @@
                         let inner = self.0.borrow();
                         (inner.core.view(), inner.core.source_sharers(), Rc::clone(&inner.on_change))
                     };
-                    on_change(owner, ViewUpdate { view, source_sharers, change: &change });
+                    on_change(loop_data, ViewUpdate { view, source_sharers, change: &change });
                 }
             }
         }
     }
 
-    fn read_datagrams(&self, owner: &mut D) {
+    fn read_datagrams(&self, loop_data: &mut D) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_READ {
             let received = self.0.borrow().datagrams.recv_from(&mut buffer);
             match received {
-                Ok((length, from)) => self.with_core(owner, |core, now, actions| {
+                Ok((length, from)) => self.with_core(loop_data, |core, now, actions| {
                     if let Err(error) = core.on_datagram(&buffer[..length], now, actions) {
                         log::debug!(from:%; "ignoring a datagram that is not from a member: {error}");
                     }
@@ -203,7 +211,7 @@
         }
     }
 
-    /// Accepts exchanges that others begin: reads their message to its end, then answers with all that is known here.
+    /// Accepts exchanges that others begin: reads their message to its end, then answers with this member's records.
     fn accept(&self, listener: &TcpListener) {
         while self.0.borrow().inbound_exchanges < MAX_INBOUND_EXCHANGES {
             let Ok((stream, _)) = listener.accept() else { return };
@@ -257,8 +265,8 @@
                     ExchangeFailure::Unreachable
                 };
                 let this = self.clone();
-                let _ = event_loop.insert_source(Timer::immediate(), move |_, (), owner| {
-                    this.with_core(owner, |core, now, _| {
+                let _ = event_loop.insert_source(Timer::immediate(), move |_, (), loop_data| {
+                    this.with_core(loop_data, |core, now, _| {
                         drop(core.on_exchange_result(at, Err(failure), now));
                     });
                     TimeoutAction::Drop
@@ -270,7 +278,7 @@
         let mut transfer = Transfer::new(message);
         let (mut is_connected, mut is_write_closed) = (false, false);
         let source = Generic::new(stream, Interest::BOTH, Mode::Edge);
-        let inserted = event_loop.insert_source(source, move |_, stream, owner| {
+        let inserted = event_loop.insert_source(source, move |_, stream, loop_data| {
             let stream: &TcpStream = stream;
             let stream_error = match stream.take_error() {
                 Ok(None) => None,
@@ -304,7 +312,7 @@
             };
             let Some(result) = result else { return Ok(PostAction::Continue) };
             this.0.borrow_mut().outbound_exchanges.remove(&at);
-            this.with_core(owner, |core, now, actions| {
+            this.with_core(loop_data, |core, now, actions| {
                 let result = result.as_deref().map_err(|failure| *failure);
                 if let Err(error) = core.on_exchange_result(at, result, now) {
                     log::debug!(at:%; "ignoring the answer to an exchange: {error}");
@@ -318,7 +326,7 @@
         let exchange = OutboundExchange { token, began, is_connected: false };
         self.0.borrow_mut().outbound_exchanges.insert(at, exchange);
         let this = self.clone();
-        let _ = event_loop.insert_source(Timer::from_duration(EXCHANGE_TIMEOUT), move |_, (), owner| {
+        let _ = event_loop.insert_source(Timer::from_duration(EXCHANGE_TIMEOUT), move |_, (), loop_data| {
             let exchange = this.0.borrow().outbound_exchanges.get(&at).copied();
             if let Some(exchange) = exchange.filter(|exchange| exchange.began == began) {
                 this.0.borrow_mut().outbound_exchanges.remove(&at);
@@ -328,7 +336,9 @@
                 } else {
                     ExchangeFailure::Unreachable
                 };
-                this.with_core(owner, |core, now, _| drop(core.on_exchange_result(at, Err(failure), now)));
+                this.with_core(loop_data, |core, now, _| {
+                    drop(core.on_exchange_result(at, Err(failure), now))
+                });
             }
             TimeoutAction::Drop
         });
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,5 +1,5 @@
-//! A member's local health, and how long a suspect member is given before it is declared dead: plain arithmetic on what
-//! was observed.
+//! A member's local health, and how long a member stays suspect before it is declared dead: plain arithmetic on observed
+//! probes.
 
 use std::time::Duration;
 
@@ -51,12 +51,13 @@
 }
 
 impl Health {
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, is_answered: bool) {
         let failed = f64::from(u8::from(!is_answered));
         self.failed_fraction += AVERAGE_WEIGHT * (failed - self.failed_fraction);
     }
 
-    /// This process did not run for a while.
+    /// Records that this process did not run for a while.
     pub fn on_pause(&mut self) {
         self.failed_fraction = self.failed_fraction.max(FAILED_AFTER_PAUSE);
     }
@@ -105,6 +106,7 @@
 const RESERVED_FROM_GOSSIP: f64 = 0.6;
 
 impl TokenBucket {
+    /// Creates a full bucket.
     pub fn new(now: Duration) -> Self {
         Self { tokens: CAPACITY_BYTES, filled_at: now }
     }
@@ -144,7 +146,7 @@
         assert_eq!(health.suspicion_timeout(ExchangeFailure::Unreachable, 0), ms(6000));
         assert_eq!(health.suspicion_timeout(ExchangeFailure::Unreachable, 3), ms(1200));
         assert_eq!(health.suspicion_timeout(ExchangeFailure::Refused, 0), ms(0));
-        (0..200).for_each(|n| health.record_probe(n % 2 == 0));
+        (0..200).for_each(|index| health.record_probe(index % 2 == 0));
         assert!((4.0..5.2).contains(&health.multiplier()), "{}", health.multiplier());
         assert!(health.suspicion_timeout(ExchangeFailure::Unreachable, 3) > ms(4500));
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -10,7 +10,7 @@
 pub const MAX_EXCHANGE_BYTES: usize = 512 * 1024;
 /// The maximum length of a member's name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Member records in a datagram: gossip is piggybacked on messages that are sent anyway.
+/// The maximum number of member records in a datagram: gossip is piggybacked on messages that are sent anyway.
 pub const MAX_GOSSIPED_RECORDS: usize = 6;
 
 /// The version of a member's record; the later one supersedes.
@@ -25,14 +25,17 @@
 /// The state of a member. For one version, the later state in this order is the stricter one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
+    /// Answers, as far as is known.
     Alive,
+    /// Did not answer, or is reported so, and may still refute it.
     Suspect,
+    /// Declared dead.
     Dead,
     /// The member announced that it leaves.
     Left,
 }
 
-/// What is known of one member.
+/// The known facts about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     pub name: String,
@@ -41,25 +44,17 @@
     pub state: MemberState,
 }
 
-/// What a datagram asks or answers.
+/// The request or answer in a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// A direct probe.
-    Ping {
-        seq: u32,
-    },
-    Ack {
-        seq: u32,
-    },
-    /// An indirect probe: asks the receiver to ping the target.
-    PingRequest {
-        seq: u32,
-        target: SocketAddr,
-    },
+    Ping { seq: u32 },
+    /// The answer to a direct probe.
+    Ack { seq: u32 },
+    /// An indirect probe: requests the receiver to ping the target.
+    PingRequest { seq: u32, target: SocketAddr },
     /// The target of an indirect probe has answered.
-    IndirectAck {
-        seq: u32,
-    },
+    IndirectAck { seq: u32 },
     /// Only member records.
     Gossip,
 }
@@ -73,7 +68,7 @@
     pub records: Vec<MemberRecord>,
 }
 
-/// All that a member knows, sent over a connection as an anti-entropy exchange.
+/// All records of a member, sent over a connection as an anti-entropy exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
     pub fleet: u64,
@@ -92,6 +87,7 @@
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
+/// Encodes a message.
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
     postcard::to_stdvec(message).expect("messages have sequences of known length and no maps")
 }
--- a/crates/membership/src/refused_versions.rs
+++ b/crates/membership/src/refused_versions.rs
@@ -1,11 +1,11 @@
 //! Versions of members that never answered and whose machine refused a connection. The refusal proves that the process is
-//! gone. It is remembered so that gossip on the same version does not make the member suspect again.
+//! gone. It is recorded so that gossip on the same version does not make the member suspect again.
 
 use crate::message::MemberVersion;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Names remembered at most, so that made-up names cannot fill the memory.
+/// The maximum number of recorded names, so that made-up names cannot fill the memory.
 const MAX_NAMES: usize = 4096;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -5,6 +5,7 @@
 pub enum Reach {
     /// More than half of it: at most one side of a partition has this.
     Most,
+    /// Half of it or less.
     NotMost,
 }
 
@@ -23,9 +24,10 @@
 }
 
 impl View {
-    /// By how many members the capacity of a source is to be divided; in doubt the larger number. Dead members count until
-    /// they are forgotten, so that the halves of a partition together request no more than the whole fleet did. Until this
-    /// view has reached most of the fleet, the configured number of members counts where it is larger.
+    /// The number of members by which the capacity of a source is to be divided. Where it is uncertain, it is the
+    /// larger number. Dead members count until they are forgotten, so that the halves of a partition together request
+    /// no more than the whole fleet did. Until this view has reached most of the fleet, the configured number of
+    /// members counts where it is larger.
     ///
     /// ```
     /// use myrtlegauge_membership::{Reach, View};
@@ -54,11 +56,14 @@
     Back(String),
     /// Is alive in a later generation.
     Restarted(String),
+    /// Announced that it leaves, or is reported to have left and refuses connections.
     Left(String),
+    /// Was dead or had left for so long that its record was dropped.
     Forgotten(String),
     /// This process did not run for this number of milliseconds. It accuses nobody until it has received an answer.
     Woke(u64),
     /// Another member has the name of this one and started later: this one no longer takes part.
     NameTaken,
+    /// This member now reaches, or no longer reaches, most of the fleet.
     Reach(Reach),
 }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -30,6 +30,7 @@
     ExchangeResult(usize, usize, Result<Vec<u8>, ExchangeFailure>),
 }
 
+/// Membership cores on a simulated network.
 struct Fleet {
     cores: Vec<Option<Membership>>,
     /// Until when members are frozen.
@@ -45,7 +46,7 @@
     now: Duration,
     rng: fastrand::Rng,
     generation: u64,
-    /// When which member declared which other one dead.
+    /// Each declaration of a death: its time, the member that declared it, and the name of the dead member.
     deaths: Vec<(Duration, usize, String)>,
     changes: Vec<(Duration, usize, Change)>,
 }
@@ -222,7 +223,7 @@
         let unaware: Vec<_> = (0..16)
             .filter(|&observer| observer != 5 && fleet.state_at(observer, 5) != Some(MemberState::Dead))
             .collect();
-        assert!(unaware.is_empty(), "seed {seed}: {unaware:?} do not know of the death");
+        assert!(unaware.is_empty(), "seed {seed}: {unaware:?} have not declared it dead");
         assert!(fleet.deaths.iter().all(|(_, _, name)| name == "m5"));
     }
 }
@@ -410,7 +411,7 @@
     }
 }
 
-/// What a member reports of others is a reason to probe them, and no more.
+/// A member's reports about others are a reason to probe these, and no more.
 #[test]
 fn a_member_that_falsely_reports_all_others_dead_removes_nobody() {
     let mut fleet = Fleet::new(12, 6);
