--- a/crates/replica/src/errors.rs
+++ b/crates/replica/src/errors.rs
@@ -32,7 +32,7 @@
     Configuration(#[from] ConfigurationError),
 }
 
-/// Reasons to refuse a request; the text of the error is the body of the response.
+/// Reasons to reject a request; the text of the error is the body of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The head is longer than that of any poll.
--- a/crates/replica/src/peers.rs
+++ b/crates/replica/src/peers.rs
@@ -43,12 +43,12 @@
     /// Sends a poll; ignores one to an unknown peer.
     pub fn start_poll(
         &mut self,
-        ask: &PeerPoll,
+        poll: &PeerPoll,
         event_loop: &EventLoopHandle<Service>,
         usage: &Rc<ResourceUsage>,
     ) {
-        let Some(peer) = self.0.iter_mut().find(|peer| peer.name == ask.to) else { return };
-        peer.poll.start_poll(&ask.request.to_query(), ask.deadline, event_loop, usage);
+        let Some(peer) = self.0.iter_mut().find(|peer| peer.name == poll.to) else { return };
+        peer.poll.start_poll(&poll.request.to_query(), poll.deadline, event_loop, usage);
     }
 
     /// Reads and writes as much as the socket allows; returns whether more can be read.
--- a/crates/replica/src/pollers.rs
+++ b/crates/replica/src/pollers.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Marks a poll as waiting on its connection; returns the id that the core knows it by.
+    /// Marks a poll as waiting on its connection; returns the id by which the core identifies it.
     pub fn start_wait(&mut self, key: PollerKey, timeout: Duration, now: Duration) -> PollId {
         let poll = PollId(self.next_poll);
         self.next_poll += 1;
@@ -193,7 +193,7 @@
     }
 
     /// Sends an error response and starts a lingering close; returns the poll that was in flight.
-    pub fn refuse(
+    pub fn reject(
         &mut self,
         key: PollerKey,
         error: &RequestError,
@@ -232,7 +232,7 @@
         let mut cancelled = Vec::new();
         for (key, stall) in stalled {
             cancelled.extend(match stall {
-                Stall::IncompleteRequest => self.refuse(key, &RequestError::Timeout, read_buffer, now),
+                Stall::IncompleteRequest => self.reject(key, &RequestError::Timeout, read_buffer, now),
                 Stall::Idle | Stall::ReplacedPoll | Stall::NotReading => {
                     self.remove(key).and_then(|(_, poll)| poll)
                 }
--- a/crates/replica/src/service.rs
+++ b/crates/replica/src/service.rs
@@ -52,7 +52,7 @@
     pub polls_answered: u64,
     /// Events in the responses to polls.
     pub events_sent: u64,
-    /// Requests that were refused with an error response.
+    /// Requests that were rejected with an error response.
     pub requests_refused: u64,
     /// Polls that were cancelled before their response.
     pub polls_cancelled: u64,
@@ -64,7 +64,7 @@
     pub source_restarts: u64,
     /// Events of the platform's change log that were published.
     pub source_events: u64,
-    /// Records of the platform's change log that the core refused.
+    /// Records of the platform's change log that the core rejected.
     pub records_refused: u64,
 }
 
@@ -147,7 +147,7 @@
         Self::start_with(event_loop, terms, ReplicaDefences::default())
     }
 
-    /// Like [`Service::start`], with some safeguards of the core switched off to prove that they are needed.
+    /// Like [`Service::start`], with some safeguards of the core disabled, for runs that prove that they are needed.
     ///
     /// # Errors
     /// The same as for [`Service::start`].
@@ -198,7 +198,7 @@
     /// Publishes a record as if it came from the platform's change log.
     ///
     /// # Errors
-    /// The core refuses the record.
+    /// The core rejects the record.
     pub fn publish(&mut self, record: Record) -> Result<(), PublishError> {
         self.now = self.clock.now();
         self.purges.add(&record);
@@ -271,7 +271,7 @@
                 Ok(Some(Request::Poll(request))) => return self.start_poll(key, request),
                 Ok(Some(Request::Status)) => self.send_status(key),
                 Ok(None) => return,
-                Err(error) => return self.refuse(key, &error),
+                Err(error) => return self.reject(key, &error),
             }
         }
     }
@@ -282,15 +282,15 @@
         if error.is_answered() {
             self.warnings.warn(self.now, &error);
         } else {
-            self.refuse(key, &error.into());
+            self.reject(key, &error.into());
         }
     }
 
-    fn refuse(&mut self, key: PollerKey, error: &RequestError) {
+    fn reject(&mut self, key: PollerKey, error: &RequestError) {
         self.counters.requests_refused += 1;
         self.warnings.warn(self.now, error);
         // Only a poll that the core had accepted before has to be cancelled there.
-        let accepted_poll = self.pollers.refuse(key, error, &mut self.read_buffer, self.now);
+        let accepted_poll = self.pollers.reject(key, error, &mut self.read_buffer, self.now);
         self.cancel(accepted_poll);
     }
 
@@ -344,8 +344,8 @@
     }
 
     fn poll_peers(&mut self) {
-        while let Some(ask) = self.core.next_poll(self.now) {
-            self.peers.start_poll(&ask, &self.event_loop, &self.usage);
+        while let Some(poll) = self.core.next_poll(self.now) {
+            self.peers.start_poll(&poll, &self.event_loop, &self.usage);
         }
     }
 
--- a/crates/replica/src/source.rs
+++ b/crates/replica/src/source.rs
@@ -148,7 +148,7 @@
         self.version_offset = self.max_version;
     }
 
-    /// Handles the refusal of a version that is lower than one known to replicas. Returns true if the change log, whose
+    /// Handles the rejection of a version that is lower than one known to replicas. Returns true if the change log, whose
     /// last event is `last_seq`, restarted before this replica started; versions are above `known` from then on.
     pub fn rebase_if_restarted(&mut self, known: Version, last_seq: u64) -> bool {
         let has_restarted = self.version_offset + last_seq < known.0;
--- a/crates/replica/tests/exchange.rs
+++ b/crates/replica/tests/exchange.rs
@@ -13,9 +13,9 @@
 
 fn start_pair() -> (ReplicaThread, ReplicaThread) {
     let [address_a, address_b] = [free_address(), free_address()];
-    let a = ReplicaTerms { peers: vec![peer("b", address_b)], ..terms("a", address_a) };
-    let b = ReplicaTerms { peers: vec![peer("a", address_a)], ..terms("b", address_b) };
-    (ReplicaThread::start(a), ReplicaThread::start(b))
+    let terms_a = ReplicaTerms { peers: vec![peer("b", address_b)], ..terms("a", address_a) };
+    let terms_b = ReplicaTerms { peers: vec![peer("a", address_a)], ..terms("b", address_b) };
+    (ReplicaThread::start(terms_a), ReplicaThread::start(terms_b))
 }
 
 #[test]
@@ -80,12 +80,12 @@
 fn a_restarted_peer_is_polled_from_the_start_of_its_log() {
     let [address_a, address_b] = [free_address(), free_address()];
     let a = ReplicaThread::start(ReplicaTerms { peers: vec![peer("b", address_b)], ..terms("a", address_a) });
-    let b_terms = ReplicaTerms { peers: vec![peer("a", address_a)], ..terms("b", address_b) };
-    let b = ReplicaThread::start(b_terms.clone());
+    let terms_b = ReplicaTerms { peers: vec![peer("a", address_a)], ..terms("b", address_b) };
+    let b = ReplicaThread::start(terms_b.clone());
     b.publish(purge("c1"));
     assert_eq!(purged_objects(&RawPoller::connect(a.address).poll("since=0&timeout=20000")), ["c1"]);
     drop(b);
-    let b = ReplicaThread::start(b_terms);
+    let b = ReplicaThread::start(terms_b);
     assert_eq!(
         purged_objects(&RawPoller::connect(b.address).poll("since=0&timeout=20000")),
         ["c1"],
--- a/crates/replica/tests/requests.rs
+++ b/crates/replica/tests/requests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_invalid_query_is_refused_with_its_cause_and_remedy() {
+fn an_invalid_query_is_rejected_with_its_cause_and_remedy() {
     let invalid_queries = [
         "since=-1",
         "since=seven",
@@ -84,23 +84,23 @@
 }
 
 #[test]
-fn unsupported_requests_are_refused_with_specific_errors() {
-    let refused = |text: &str| parse(text).map(|_| ()).expect_err(text);
+fn unsupported_requests_are_rejected_with_specific_errors() {
+    let rejected = |text: &str| parse(text).map(|_| ()).expect_err(text);
     assert_eq!(parse("GET /status HTTP/1.1\r\n\r\n"), Ok(Some(Request::Status)));
-    assert_eq!(refused("GET / HTTP/1.1\r\n\r\n"), RequestError::Path("/".to_owned()));
-    assert_eq!(refused("POST /changes HTTP/1.1\r\n\r\n"), RequestError::Method("POST".to_owned()));
-    assert_eq!(refused("GET /status HTTP/1.1\r\nContent-Length: 5\r\n\r\n"), RequestError::Body);
-    assert_eq!(refused("GET /status HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), RequestError::Body);
-    assert_eq!(refused("\u{1}\u{2} nonsense\r\n\r\n"), RequestError::NotHttp);
+    assert_eq!(rejected("GET / HTTP/1.1\r\n\r\n"), RequestError::Path("/".to_owned()));
+    assert_eq!(rejected("POST /changes HTTP/1.1\r\n\r\n"), RequestError::Method("POST".to_owned()));
+    assert_eq!(rejected("GET /status HTTP/1.1\r\nContent-Length: 5\r\n\r\n"), RequestError::Body);
+    assert_eq!(rejected("GET /status HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), RequestError::Body);
+    assert_eq!(rejected("\u{1}\u{2} nonsense\r\n\r\n"), RequestError::NotHttp);
     let many_headers: String = (0..40).map(|number| format!("a{number}: b\r\n")).collect();
     assert_eq!(
-        refused(&format!("GET /status HTTP/1.1\r\n{many_headers}\r\n")),
+        rejected(&format!("GET /status HTTP/1.1\r\n{many_headers}\r\n")),
         RequestError::HeadTooLong { max_bytes: MAX_HEAD_BYTES }
     );
 }
 
 #[test]
-fn an_endless_head_is_refused_above_the_maximum_size() {
+fn an_endless_head_is_rejected_above_the_maximum_size() {
     let start = "GET /changes?since=1&log=".to_owned();
     let longest = format!("{start}{}", "x".repeat(MAX_HEAD_BYTES - start.len()));
     assert_eq!(parse(&longest), Ok(None), "the head may still be completed");
@@ -113,8 +113,8 @@
     let stream = format!("GET /changes?{query} HTTP/1.1\r\nHost: a\r\n\r\nGET /status HTTP/1.1\r\n\r\n");
     for at in 0..=stream.len() {
         let (mut inbound, mut requests) = (BytesMut::new(), Vec::new());
-        for part in [&stream[..at], &stream[at..]] {
-            inbound.extend_from_slice(part.as_bytes());
+        for chunk in [&stream[..at], &stream[at..]] {
+            inbound.extend_from_slice(chunk.as_bytes());
             while let Some(request) = http::next_request(&mut inbound).expect("the request is well-formed") {
                 requests.push(request);
             }
--- a/crates/replication/src/errors.rs
+++ b/crates/replication/src/errors.rs
@@ -1,4 +1,4 @@
-//! Errors of replication. Each message says what failed and what an operator can do about it.
+//! Errors of replication. Each message states what failed and what an operator can do about it.
 
 use crate::record::{LogId, MemberName, ReplicaName, Sequence, Version};
 use std::time::Duration;
@@ -119,7 +119,7 @@
     UnknownReplica(ReplicaName),
     /// The poll comes from an older process of that name, or under an attachment that was superseded.
     #[error(
-        "member `{name}` polls under a superseded attachment and is told to attach again; if this repeats, check for two dispatchers with the same name"
+        "member `{name}` polls under a superseded attachment; answering that it has to attach again; if this repeats, check for two dispatchers with the same name"
     )]
     Superseded {
         /// The name of the dispatcher.
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -61,7 +61,7 @@
         self.seq_translation.clear();
     }
 
-    /// Stores what a complete answer reports beside its records.
+    /// Stores the content of a complete answer, except for its records.
     pub fn store_report(&mut self, answer: &PollAnswer, sent_at: Duration, own_log: &LogId) {
         let report = answer.report.as_ref().filter(|report| report.log == *own_log);
         self.report = Some(ReceivedReport {
--- a/crates/replication/src/replica/claims.rs
+++ b/crates/replication/src/replica/claims.rs
@@ -102,8 +102,8 @@
         self.confirm_attaches(now);
     }
 
-    /// Sets what members have to acknowledge for their attachment, once a majority has their records: all that is known
-    /// here now.
+    /// Once a majority has the records of members, sets the sequence number that these members have to acknowledge for
+    /// their attachment: that of the last data record known here.
     pub(super) fn confirm_attaches(&mut self, now: Duration) {
         if !self.standing.is_established() {
             return;
@@ -140,7 +140,7 @@
         self.claimed_watermark.raise(claimable_seq, now);
     }
 
-    /// The sequence number up to which this log is in force, by what is known now.
+    /// The sequence number up to which this log is in force, as far as is known now.
     pub(super) fn claimable_seq(&self, now: Duration) -> Sequence {
         let oldest = now.saturating_sub(self.config.quorum_window);
         let majority = match self.config.defences.claim_quorum {
--- a/crates/replication/src/subscriber.rs
+++ b/crates/replication/src/subscriber.rs
@@ -118,7 +118,7 @@
     pub failures: u64,
     /// Records returned to be applied.
     pub applied: u64,
-    /// The number of records that were already known, were older than the known ones, or are not for dispatchers.
+    /// Records that were already known, were older than the known ones, or are not for dispatchers.
     pub passed_over: u64,
     /// Started attachments.
     pub attachments: u64,
@@ -195,7 +195,7 @@
     /// Until when the fallback is avoided.
     fallback_avoided_until: Duration,
     probe: Probe,
-    /// When the last poll was sent whose answer said that the attachment is complete.
+    /// When the last poll was sent whose answer reported the attachment as complete.
     attached_as_of: Option<Duration>,
     log: CompactedLog,
     counters: SubscriberCounters,
--- a/crates/replication/src/watermark.rs
+++ b/crates/replication/src/watermark.rs
@@ -1,4 +1,4 @@
-//! Verdicts: whether a record is in force at all dispatchers, and what it waits for.
+//! Verdicts: whether a record is in force at all dispatchers, and the dispatchers and replicas that it waits for.
 
 use crate::record::{MemberName, ReplicaName, Sequence};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/replication/tests/replication/rules.rs
+++ b/crates/replication/tests/replication/rules.rs
@@ -66,7 +66,7 @@
     SubscriberConfig::new("d1".into(), Incarnation(START_MS), "north".into(), Some("south".into()))
 }
 
-/// An empty answer that says that the attachment is complete.
+/// An empty answer that reports the attachment as complete.
 fn attached_answer(replica: &str, seq: u64) -> PollAnswer {
     let json = format!(r#"{{"log":"{replica}-1","seq":{seq},"attached":true,"results":[]}}"#);
     PollAnswer::from_json(&json).expect("a valid answer")
@@ -176,10 +176,10 @@
     let mut log = CompactedLog::default();
     (1..=5).for_each(|group| _ = log.merge(purge(group, 5), Duration::ZERO));
     log.merge(purge(2, 6), Duration::ZERO);
-    let part = log.events_after(Sequence(0), 3, Audience::Dispatchers);
-    let seqs: Vec<u64> = part.events.iter().map(|event| event.seq.0).collect();
-    assert_eq!((seqs, part.seq, part.more), (vec![1, 3, 4], Sequence(4), true));
-    let rest = log.events_after(part.seq, 3, Audience::Dispatchers);
+    let first = log.events_after(Sequence(0), 3, Audience::Dispatchers);
+    let seqs: Vec<u64> = first.events.iter().map(|event| event.seq.0).collect();
+    assert_eq!((seqs, first.seq, first.more), (vec![1, 3, 4], Sequence(4), true));
+    let rest = log.events_after(first.seq, 3, Audience::Dispatchers);
     let seqs: Vec<u64> = rest.events.iter().map(|event| event.seq.0).collect();
     assert_eq!((seqs, rest.seq, rest.more), (vec![5, 6], Sequence(6), false));
 }
@@ -232,7 +232,7 @@
     let now_unix_ms = START_MS + 6000;
     let kind = "configuration";
     let name = "limits".to_owned();
-    let refused = [
+    let rejected = [
         (
             configuration(4, 1),
             PublishError::Older { kind, name: name.clone(), version: Version(4), known: Version(5) },
@@ -260,7 +260,7 @@
             PublishError::Name { length: 256, max: 255 },
         ),
     ];
-    for (record, error) in refused {
+    for (record, error) in rejected {
         assert_eq!(replica.publish(record, now), Err(error));
     }
     assert_eq!(replica.log().last_seq(), last);
@@ -296,7 +296,7 @@
 
 #[test]
 fn errors_of_invalid_queries_name_the_field() {
-    let refused = [
+    let rejected = [
         ("since=x", "since"),
         ("timeout=-1", "timeout"),
         ("whole=1.5", "whole"),
@@ -305,7 +305,7 @@
         ("role=dispatcher&name=d%zz&incarnation=1&attachment=1", "value"),
         ("role=dispatcher&name=%ff&incarnation=1&attachment=1", "value"),
     ];
-    for (query, field) in refused {
+    for (query, field) in rejected {
         match PollRequest::from_query(query) {
             Err(PollError::InvalidField { field: reported, .. }) => assert_eq!(reported, field),
             other => panic!("{query}: {other:?}"),
@@ -376,12 +376,12 @@
     replica.poll(PollId(1), poll(dispatcher(1), None, 0), ms(1)).expect("the first is accepted");
     let (name, incarnation, attachment) = ("d2".into(), Incarnation(1), Attachment(1));
     let second = Poller::Dispatcher { name, incarnation, attachment, leaving: false };
-    let refused = replica.poll(PollId(2), poll(second, None, 0), ms(1));
-    assert_eq!(refused, Err(PollError::TooManyMembers { name: "d2".into(), max: 1 }));
+    let rejected = replica.poll(PollId(2), poll(second, None, 0), ms(1));
+    assert_eq!(rejected, Err(PollError::TooManyMembers { name: "d2".into(), max: 1 }));
     let unknown_replica = Poller::Replica { name: "west".into(), own_log: "west-1".into() };
-    let refused = replica.poll(PollId(3), poll(unknown_replica, None, 0), ms(1));
-    assert_eq!(refused, Err(PollError::UnknownReplica("west".into())));
-    assert!(!refused.expect_err("it is rejected").is_answered());
+    let rejected = replica.poll(PollId(3), poll(unknown_replica, None, 0), ms(1));
+    assert_eq!(rejected, Err(PollError::UnknownReplica("west".into())));
+    assert!(!rejected.expect_err("it is rejected").is_answered());
 }
 
 #[test]
@@ -494,22 +494,22 @@
     let mut replica =
         Replica::new(replica_config(&["south"]), Duration::ZERO).expect("a valid configuration");
     let south = ReplicaName::from("south");
-    let refused = replica.on_peer_answer(&south, attached_answer("south", 1), ms(1));
-    assert_eq!(refused, Err(AnswerError::Unsolicited(south.clone())));
+    let rejected = replica.on_peer_answer(&south, attached_answer("south", 1), ms(1));
+    assert_eq!(rejected, Err(AnswerError::Unsolicited(south.clone())));
     let west = ReplicaName::from("west");
-    let refused = replica.on_peer_answer(&west, attached_answer("west", 1), ms(1));
-    assert_eq!(refused, Err(AnswerError::UnknownReplica(west)));
+    let rejected = replica.on_peer_answer(&west, attached_answer("west", 1), ms(1));
+    assert_eq!(rejected, Err(AnswerError::UnknownReplica(west)));
     replica.next_poll(ms(1)).expect("it polls immediately");
     let mut backwards = attached_answer("south", 2);
     backwards.results = [2, 1].map(|seq| Event { seq: Sequence(seq), record: purge(seq, START_MS) }).to_vec();
-    let refused = replica.on_peer_answer(&south, backwards, ms(2));
-    assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: south.clone(), event: Sequence(1) }));
+    let rejected = replica.on_peer_answer(&south, backwards, ms(2));
+    assert_eq!(rejected, Err(AnswerError::OutOfOrder { replica: south.clone(), event: Sequence(1) }));
     assert_eq!(replica.log().last_seq(), Sequence(0), "nothing of the answer was applied");
     let mut beyond = attached_answer("south", 1);
     beyond.results = vec![Event { seq: Sequence(2), record: purge(1, START_MS) }];
     replica.next_poll(ms(50)).expect("it polls again");
-    let refused = replica.on_peer_answer(&south, beyond, ms(51));
-    assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: south, event: Sequence(2) }));
+    let rejected = replica.on_peer_answer(&south, beyond, ms(51));
+    assert_eq!(rejected, Err(AnswerError::OutOfOrder { replica: south, event: Sequence(2) }));
 }
 
 #[test]
@@ -810,20 +810,23 @@
 fn invalid_answers_to_a_dispatcher_change_nothing() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
     let north = ReplicaName::from("north");
-    let refused = subscriber.on_answer(&north, attached_answer("north", 1), ms(0));
-    assert_eq!(refused, Err(AnswerError::Unsolicited(north.clone())));
+    let rejected = subscriber.on_answer(&north, attached_answer("north", 1), ms(0));
+    assert_eq!(rejected, Err(AnswerError::Unsolicited(north.clone())));
     subscriber.next_poll(ms(0)).expect("it polls");
-    let refused = subscriber.on_answer(&"west".into(), attached_answer("west", 1), ms(0));
-    assert_eq!(refused, Err(AnswerError::Unsolicited("west".into())));
+    let rejected = subscriber.on_answer(&"west".into(), attached_answer("west", 1), ms(0));
+    assert_eq!(rejected, Err(AnswerError::Unsolicited("west".into())));
     let mut beyond = attached_answer("north", 1);
     beyond.results = vec![Event { seq: Sequence(2), record: purge(1, START_MS) }];
-    let refused = subscriber.on_answer(&north, beyond, ms(1));
-    assert_eq!(refused, Err(AnswerError::OutOfOrder { replica: north, event: Sequence(2) }));
-    assert!(subscriber.in_doubt_since(ms(1)).is_some(), "the answer says attached and is invalid");
+    let rejected = subscriber.on_answer(&north, beyond, ms(1));
+    assert_eq!(rejected, Err(AnswerError::OutOfOrder { replica: north, event: Sequence(2) }));
+    assert!(
+        subscriber.in_doubt_since(ms(1)).is_some(),
+        "the answer reports a complete attachment and is invalid"
+    );
 }
 
 #[test]
-fn the_last_poll_of_a_dispatcher_says_that_it_leaves() {
+fn the_last_poll_of_a_dispatcher_announces_that_it_leaves() {
     let mut subscriber = Subscriber::new(subscriber_config(), ms(0)).expect("a valid configuration");
     let poll_sent = subscriber.leave(ms(0));
     assert!(poll_sent.request.to_query().ends_with("&leaving=1"));
