--- a/crates/dispatcher/src/routing/connection_slab.rs
+++ b/crates/dispatcher/src/routing/connection_slab.rs
@@ -27,11 +27,13 @@
         ConnectionKey { slot: self.slots.vacant_key() as u32, serial: self.serial }
     }
 
+    /// Inserts a connection under the key that was returned for it.
     pub fn insert(&mut self, key: ConnectionKey, value: T) {
         let slot = self.slots.insert((key.serial, value));
         debug_assert_eq!(slot, key.slot as usize, "a key must be inserted before the next one is requested");
     }
 
+    /// The connection with this key; `None` if it was removed.
     pub fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut T> {
         let (serial, value) = self.slots.get_mut(key.slot as usize)?;
         (*serial == key.serial).then_some(value)
@@ -42,16 +44,19 @@
         self.slots.remove(key.slot as usize).1
     }
 
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
+    /// The connections with their keys, in the order of their slots.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &T)> {
         self.slots
             .iter()
             .map(|(slot, (serial, value))| (ConnectionKey { slot: slot as u32, serial: *serial }, value))
     }
 
+    /// The connections with their keys, in the order of their slots, for modification.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (ConnectionKey, &mut T)> {
         self.slots
             .iter_mut()
--- a/crates/dispatcher/src/routing/forwards.rs
+++ b/crates/dispatcher/src/routing/forwards.rs
@@ -273,7 +273,7 @@
     /// then, forwards to the host open another connection.
     ///
     /// Without this, a host whose connections are always established late would be considered dead, since each new
-    /// attempt would be as late as the last. The cost is a descriptor for a host that is gone.
+    /// attempt would be as late as the last. The cost is a descriptor for a host that no longer exists.
     pub fn on_connect_timeout(&mut self, key: ConnectionKey) {
         self.counters.links_late += 1;
         self.links[key].is_late = true;
@@ -377,8 +377,8 @@
         let link = &mut links[key];
         link.in_flight_gets.retain(|&other| other != get_index);
         link.last_used_at = now;
-        // No byte was received since the forward was sent, for longer than the connect timeout: the peer may be gone
-        // without closing, which a new connection will show. The cost is a needless handshake if the only host is slow.
+        // No byte was received since the forward was sent, for longer than the connect timeout: the peer may have
+        // ended without closing, which a new connection will show. The cost is a needless handshake if the only host is slow.
         link.is_retired |= forward.message.is_some()
             && link.received_at <= forward.sent_at
             && now >= forward.sent_at + connect_timeout;
--- a/crates/dispatcher/src/routing/guards.rs
+++ b/crates/dispatcher/src/routing/guards.rs
@@ -26,6 +26,7 @@
 impl Rule {
     pub const ALL: [Self; 4] = [Self::Sending, Self::Repeating, Self::Closing, Self::Starting];
 
+    /// Name of the rule in logs and in the report of counters.
     pub fn name(self) -> &'static str {
         match self {
             Self::Sending => "sending",
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Guard of repeating, for rejections: whether a client may be told that its request did not run.
+    /// Guard of repeating, for rejections: whether a response may state that the request did not run.
     pub fn may_reject(&self, get_index: GetIndex) -> bool {
         !self.is_guarded(Rule::Repeating) || !self.may_have_executed(get_index)
     }
--- a/crates/dispatcher/src/routing/hosts.rs
+++ b/crates/dispatcher/src/routing/hosts.rs
@@ -31,7 +31,7 @@
     pub opened_at: Duration,
     /// GETs with a forward on this connection, including those that wait for it to be established.
     pub in_flight_gets: Vec<GetIndex>,
-    /// Takes no new forwards: the host has restarted, or a forward was given up without a byte received.
+    /// Takes no new forwards: the host has restarted, or a forward was abandoned without a byte received.
     pub is_retired: bool,
     pub has_ended: bool,
     pub received_at: Duration,
--- a/crates/dispatcher/src/routing/in_flight.rs
+++ b/crates/dispatcher/src/routing/in_flight.rs
@@ -68,10 +68,12 @@
         self.slots[get_index] = pending;
     }
 
+    /// The GET at this index, which must be in flight.
     pub fn get(&self, get_index: GetIndex) -> &PendingGet {
         &self.slots[get_index]
     }
 
+    /// The GET at this index, which must be in flight, for modification.
     pub fn get_mut(&mut self, get_index: GetIndex) -> &mut PendingGet {
         &mut self.slots[get_index]
     }
--- a/crates/dispatcher/src/routing/mod.rs
+++ b/crates/dispatcher/src/routing/mod.rs
@@ -177,7 +177,7 @@
         self.proxy.next_deadline().saturating_sub(self.proxy.clock.now())
     }
 
-    /// Processes all that one event loop iteration brought as one round, and runs another round at once if one ended
+    /// Processes all events of one event loop iteration as one round, and runs another round at once if one ended
     /// forwards locally.
     pub fn process_events(&mut self) {
         let Self { router, proxy, .. } = self;
@@ -213,7 +213,7 @@
                     round.on_host_list(ListUpdate::Changes, &changed_entries);
                 }
                 // Abandoned GETs come before outcomes, so that a failed forward is not retried for a client that has
-                // left.
+                // disconnected.
                 while let Some(get_index) = round.sink().next_abandoned() {
                     round.on_abandoned(get_index);
                 }
--- a/crates/dispatcher/src/routing/news.rs
+++ b/crates/dispatcher/src/routing/news.rs
@@ -187,7 +187,14 @@
     pub fn accept_change(&mut self, seq: u64) -> Option<bool> {
         let step = self.change_log.accept(seq, self.now);
         if let SequenceCheck::GapRetried(last_seq) | SequenceCheck::GapAccepted(last_seq) = step {
-            self.report_fault(format_args!("sequence gap in the change log, from {last_seq} to {seq}"));
+            let next_step = if matches!(step, SequenceCheck::GapRetried(_)) {
+                "polling again for the missing changes"
+            } else {
+                "continuing without the missing changes"
+            };
+            self.report_fault(format_args!(
+                "sequence gap in the change log, from {last_seq} to {seq}; {next_step}"
+            ));
         }
         let is_new = match step {
             SequenceCheck::Duplicate => Some(false),
--- a/crates/dispatcher/src/routing/proxy.rs
+++ b/crates/dispatcher/src/routing/proxy.rs
@@ -29,7 +29,7 @@
 
 /// Size of the buffer through which all connections read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Interval at which idle and stuck connections are looked for and closed.
+/// Interval at which idle and stuck connections are detected and closed.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Fraction of the hosts' idle timeout after which a connection is closed here, so that nothing is written to a
 /// connection that the host is closing.
@@ -51,7 +51,7 @@
 /// opens at once.
 const RESERVED_DESCRIPTORS: usize = 14;
 /// Minimum time in which a partly received reply must be completed. Hosts write a reply in one piece, so the rest is
-/// delayed by a short network disturbance only.
+/// delayed only by a short network disturbance.
 const MIN_PARTIAL_TIMEOUT: Duration = Duration::from_millis(250);
 /// The time to complete a reply is this many times the transfer time of the largest object at the rate in the settings.
 const TRANSFER_TIME_FACTOR: f64 = 2.0;
@@ -96,7 +96,7 @@
     StartDeadline(GetIndex, u64),
     /// GETs no longer wait for the connection to be established.
     ConnectTimeout(ConnectionKey),
-    /// The connection attempt is given up.
+    /// The connection attempt is abandoned.
     DialTimeout(ConnectionKey),
 }
 
@@ -178,7 +178,7 @@
     end_log_budget: LogBudget,
     /// Forwards sent in this `LOG_INTERVAL` that go to the origin or name it as their fill source.
     pub origin_forwards: u32,
-    /// Replies in this `LOG_INTERVAL` that said they were filled from the origin.
+    /// Replies in this `LOG_INTERVAL` that reported a fill from the origin.
     pub origin_fills: u32,
     /// When these two counts are logged next.
     origin_log_due_at: Duration,
@@ -389,7 +389,7 @@
     }
 
     /// Logs once in each `LOG_INTERVAL` how many forwards went to the origin or named it as their fill source, and
-    /// how many replies said they were filled from it, if there were any. Summed over a fleet's logs by second, the
+    /// how many replies reported a fill from it, if there were any. Summed over a fleet's logs by second, the
     /// counts are the origin's requested and performed fills.
     pub fn log_origin_use(&mut self) {
         if self.now < self.origin_log_due_at {
--- a/crates/dispatcher/src/routing/zones.rs
+++ b/crates/dispatcher/src/routing/zones.rs
@@ -45,7 +45,7 @@
     pub report_interval: Duration,
 }
 
-/// The zones as this dispatcher knows them.
+/// This dispatcher's view of the zones.
 pub struct Zones {
     names: Vec<String>,
     held_verdicts: HeldVerdicts,
@@ -218,7 +218,7 @@
     }
 
     /// Counts forwards as errored that are unanswered for longer than their latency objective while their connection
-    /// received nothing. Forwards at a silent host end only when clients give up, and meanwhile no more are sent
+    /// received nothing. Forwards at a silent host end only when clients stop waiting, and meanwhile no more are sent
     /// there, so without this there would be no evidence against it.
     fn count_silent_forwards(&mut self) {
         let (now, limits) = (self.now, &self.limits);
--- a/crates/recovery/src/fill_limiter.rs
+++ b/crates/recovery/src/fill_limiter.rs
@@ -13,7 +13,7 @@
 use crate::bits::count_recent;
 use std::time::Duration;
 
-/// A number of fills, given as one part for the whole fleet and one part per router.
+/// A number of fills: a total that the fleet divides among its routers, and an addend for each router.
 struct FleetShare {
     total: f64,
     per_router: f64,
@@ -26,12 +26,12 @@
     }
 }
 
-/// Initial limit. The total is what a small origin can take. The part per router exists because an origin shared by many
-/// routers is sized for many.
+/// Initial limit. The total is what a small origin can take. The addend per router exists because an origin shared by
+/// many routers is sized for many.
 const INITIAL: FleetShare = FleetShare { total: 4.0, per_router: 0.1 };
 /// The lowest limit.
 const MINIMUM: FleetShare = FleetShare { total: 4.0, per_router: 0.05 };
-/// Factor on the initial part per router if the origin has other users too. Such an origin is sized for their fills as
+/// Factor on the initial addend per router if the origin has other users too. Such an origin is sized for their fills as
 /// well.
 const SHARED_ORIGIN_FACTOR: f64 = 3.0;
 /// Added to the initial limit after division by the square of the number of routers. A router of a small fleet observes
@@ -132,7 +132,7 @@
     limit: f64,
     /// Number of routers that share the origin.
     sharers: f64,
-    /// Factor on the initial part per router.
+    /// Factor on the initial addend per router.
     initial_factor: f64,
     /// Outcomes of recent fills, with the newest in the lowest bit; 1 is a late or failed fill.
     recent_failures: u32,
@@ -297,7 +297,7 @@
         self.last_cut_at.is_none_or(|at| now >= at + interval)
     }
 
-    /// Cuts the limit to a fraction of the part that is in use. A limit far above its use would admit an overload.
+    /// Cuts the limit to a fraction of the fills recently in flight. A limit far above its use would admit an overload.
     fn cut(&mut self, factor: f64, in_flight: f64, now: Duration) {
         let minimum = MINIMUM.share_of_one_router(self.sharers);
         let in_use = self.mean_in_flight(now).unwrap_or(in_flight + 1.0);
@@ -356,7 +356,7 @@
         assert_eq!(limiter().mean_in_flight(ms(1)), None);
     }
 
-    /// Two late fills cut the limit to a fraction of the part in use, however large the limit was before.
+    /// Two late fills cut the limit to a fraction of the fills recently in flight, however large the limit was before.
     #[test]
     fn a_cut_starts_from_the_part_of_the_limit_in_use() {
         let (mut limiter, ms) = (limiter(), Duration::from_millis);
--- a/crates/recovery/src/latency_estimator.rs
+++ b/crates/recovery/src/latency_estimator.rs
@@ -42,7 +42,7 @@
         self.wait_s * retained + sending_s * (1.0 + (self.slope - 1.0).max(0.0) * retained)
     }
 
-    /// Records the duration of a transfer and the part of it spent waiting. The transfer may still be running.
+    /// Records the duration of a transfer and how much of it was spent waiting. The transfer may still be running.
     pub fn record(&mut self, duration_s: f64, wait_s: f64, sending_s: f64, now: Duration) {
         let old_wait_s = self.estimate_s(0.0, now);
         let old_slope = self.estimate_s(1.0, now) - old_wait_s;
--- a/crates/recovery/src/startup_timeline.rs
+++ b/crates/recovery/src/startup_timeline.rs
@@ -24,6 +24,7 @@
     Source,
     /// No cache accepted the request: all were in slow start, in backoff or overloaded.
     Host,
+    /// Any other cause.
     Other,
 }
 
--- a/crates/wire/src/change_log_client.rs
+++ b/crates/wire/src/change_log_client.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// How long the change log may hold back an answer while it has no new events. Short, because a connection that has
-/// gone silent delivers nothing, while an event counts as known as soon as it is in the change log.
+/// failed without a reset delivers nothing, while an event counts as known as soon as it is in the change log.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(500);
 /// The wait of the first poll and of a poll after a gap, which are to be answered immediately.
 const IMMEDIATE_POLL_WAIT: Duration = Duration::from_millis(1);
--- a/crates/wire/src/transport/connection.rs
+++ b/crates/wire/src/transport/connection.rs
@@ -33,11 +33,11 @@
     registration: RegistrationToken,
     resource_usage: Rc<ResourceUsage>,
     inbound: BytesMut,
-    /// Messages that wait to be written, each with its number. A part of the first may be written already.
+    /// Messages that wait to be written, each with its number. The first may be partly written already.
     outbound: VecDeque<(u64, Bytes)>,
     /// Total messages queued so far, which is the number of the next message.
     enqueued_messages: u64,
-    /// A part of the first message in `outbound` is written.
+    /// The first message in `outbound` is partly written.
     is_first_partly_written: bool,
     /// Bytes that wait in `outbound`.
     unsent_bytes: usize,
@@ -158,7 +158,7 @@
         self.outbound.front().is_none_or(|&(first, _)| number < first)
     }
 
-    /// Removes a message from the queue if none of its bytes were written. Returns false if a part was written, in
+    /// Removes a message from the queue if none of its bytes were written. Returns false if it is partly written, in
     /// which case the rest follows, or if the message is no longer queued.
     ///
     /// Without this, a peer that reads nothing for a while would still receive requests that were abandoned meanwhile.
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -9,9 +9,9 @@
 //! 1. health: a host is judged by the successes among its last few outcomes; silence counts as a failure;
 //! 2. slow start: a recently started host gets a growing fraction of its keys, within a budget;
 //! 3. fill source: the parent that the ring selects, or the next healthy one, with a limit on fills; otherwise the
-//!    cache is asked for what it holds;
+//!    cache is asked for a cached copy only;
 //! 4. silence and further forwards: a host with an overdue forward and no answer since is skipped;
-//! 5. load limit: a GET that would be late at its cache goes to the next cache on the ring or is shed;
+//! 5. load limit: a GET that would be late at its cache is sent to the next cache on the ring or is shed;
 //! 6. retention rank: an object that was requested again outranks one that was requested once.
 
 use crate::host_life::{EndEvidence, ListingContext, TimeReference};
@@ -73,7 +73,7 @@
 /// Relative pace of hits below which a cache's link is full. A cache with spare capacity is faster even if sizes
 /// vary.
 const CONGESTED_PACE: f64 = 0.7;
-/// The same for fills whose wait for the source is not reported and is part of their time.
+/// The same for fills whose wait for the source is not reported. Their time includes that wait.
 const CONGESTED_PACE_WITH_WAIT: f64 = 0.4;
 /// Time constant of the mean number of this router's transfers at a cache. Each other router is assumed to have as
 /// many there.
@@ -326,8 +326,12 @@
 
     /// Builds a ring of the active hosts that `selects` accepts, with points by weight.
     fn build_ring(&self, selects: impl Fn(&Self, &HostEntry) -> bool) -> Ring {
-        let members =
-            || self.hosts.iter().filter(|h| h.is_active() && selects(self, &h.entry)).map(|h| &h.entry);
+        let members = || {
+            self.hosts
+                .iter()
+                .filter(|host| host.is_active() && selects(self, &host.entry))
+                .map(|host| &host.entry)
+        };
         let mean_weight = members().map(|entry| entry.weight).sum::<f64>() / members().count() as f64;
         let points = |entry: &HostEntry| {
             (POINTS_PER_MEAN_HOST * entry.weight / mean_weight.max(1e-9)).round().max(1.0) as u64
@@ -466,7 +470,9 @@
             TokenGroup::Cell => first.cell == next.cell,
         };
         ds.is_idempotent
-            || ds.is_tokened && is_same_group && self.repeat_deadline(in_flight).is_none_or(|at| now < at)
+            || ds.is_tokened
+                && is_same_group
+                && self.repeat_deadline(in_flight).is_none_or(|deadline| now < deadline)
     }
 
     /// Until when a GET that may have run and is not idempotent can be sent again; `None` if there is no limit.
@@ -523,7 +529,7 @@
 
     /// Selects the source of a fill: the first parent on the ring that can take it, those of the own hub first;
     /// otherwise the origin. While busy, it is otherwise a parent at its limit, which the returned flag restricts to
-    /// what it has cached.
+    /// its cached copies.
     fn select_source(
         &mut self,
         index: GetIndex,
@@ -719,7 +725,7 @@
             if is_fill_refused { None } else { router.select_source(index, is_fill, within_s, now) }
         };
         let source = write_origin.map(|origin| (origin, false)).or_else(|| select_source(router));
-        // No fill would be in time: the cache is asked once for what it holds.
+        // No fill would be in time: the cache is asked once for a cached copy.
         let lookup_cache =
             cache.filter(|_| source.is_none() && !is_write && !router.gets[index].is_missing_at_source);
         if is_fill
@@ -755,7 +761,7 @@
         };
         let forward = Forward {
             host,
-            // A parent that is asked directly and is its own source would return only what it has cached.
+            // A parent that is asked directly and is its own source would return only a cached copy.
             source: router.origin.filter(|_| cache.is_none()).or(source).unwrap_or(host),
             timeout: time_left,
             retention_rank: if is_write { 0 } else { router.retention_rank(key) },
@@ -825,7 +831,10 @@
             || ds.is_tokened && ds.token_group == TokenGroup::All
         {
             let retry_after = MEAN_RETRY_AFTER.mul_f64(0.5 + router.rng.f64());
-            self.out.shed(index, router.site.max_retry_after.map(|longest| retry_after.min(longest)));
+            self.out.shed(
+                index,
+                router.site.max_retry_after.map(|max_retry_after| retry_after.min(max_retry_after)),
+            );
         } else {
             self.out.error(index);
         }
@@ -850,7 +859,7 @@
         }
     }
 
-    /// The client has gone or no longer waits for this GET.
+    /// The client has disconnected or no longer waits for this GET.
     pub fn on_abandoned(&mut self, index: GetIndex) {
         let Some(in_flight) = self.router.gets.get_mut(index) else { return };
         in_flight.is_answered = true;
@@ -1011,10 +1020,10 @@
             // predicts that of the others.
             let observed_s = (elapsed_s - wait_s).max(1e-3) * 2.0 / (sent.slowness + slowness);
             let object = mix(get.object);
-            let known_s = router.part_sending_s.get(object).filter(|&known| known < observed_s);
+            let known_s = router.part_sending_s.get(object).filter(|&known_s| known_s < observed_s);
             router.part_sending_s.set(
                 object,
-                known_s.map_or(observed_s, |known| moving_average(known, observed_s, SAMPLE_WEIGHT)),
+                known_s.map_or(observed_s, |known_s| moving_average(known_s, observed_s, SAMPLE_WEIGHT)),
             );
             stats.sample_count += 1.0;
             let weight = SAMPLE_WEIGHT.max(1.0 / stats.sample_count);
@@ -1100,7 +1109,7 @@
         for entry in entries {
             // Changes to caches of zones that this router does not use change no ring here.
             needs_rebuild |= router.is_parent(entry)
-                || router.site.serves(entry.zone)
+                || router.site.uses_zone(entry.zone)
                 || entry.kind == router.site.origin_kind;
             router.hosts.resize(router.hosts.len().max(entry.host + 1), HostState::default());
             let (sharers, host) =
@@ -1130,7 +1139,7 @@
         }
         if needs_rebuild {
             router.caches = router.build_ring(|router, entry| {
-                router.site.serves(entry.zone)
+                router.site.uses_zone(entry.zone)
                     && !router.is_parent(entry)
                     && entry.kind != router.site.origin_kind
             });
@@ -1145,7 +1154,7 @@
     /// Records a purge that was issued `age` ago.
     pub fn on_purge(&mut self, key: PurgeKey, age: Duration) {
         let at = self.now.saturating_sub(age);
-        self.router.purges.entry(key).and_modify(|known| *known = at.max(*known)).or_insert(at);
+        self.router.purges.entry(key).and_modify(|purged_at| *purged_at = at.max(*purged_at)).or_insert(at);
     }
 
     /// Sets the time since which purges may have been missed; `None` if all are known.
--- a/src/host_life.rs
+++ b/src/host_life.rs
@@ -6,8 +6,8 @@
 //!   tells one start from another. The time of the start is taken from when this router received the claim, since too
 //!   late a time is safe. A start in this router's first list may be much older. There the claim is used as far as
 //!   two other clocks agree: this machine's and the newest timestamp that was received.
-//! - Connections: when a dial is refused, the process that was there is gone. When the last connection ends while the
-//!   list is out of date, the process may be gone. What answers next counts as a new process until the list, known up
+//! - Connections: when a dial is refused, the previous process has ended. When the last connection ends while the list
+//!   is out of date, the process may have ended. The process that answers next counts as new until the list, known up
 //!   to a later time, states no start.
 
 use crate::interface::Start;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -181,7 +181,7 @@
     pub host: HostIndex,
     /// Where a miss is filled from. The host itself means that a miss is not filled.
     pub source: HostIndex,
-    /// Zero means until the client gives up.
+    /// Zero means until the client stops waiting.
     pub timeout: Duration,
     /// How strongly the cache is to retain the copy: a higher rank outranks a lower one.
     pub retention_rank: u8,
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -178,11 +178,13 @@
         (key >> 32) as u32 | 1
     }
 
+    /// The value of a key, if no newer key has replaced it.
     pub fn get(&self, key: u64) -> Option<T> {
         let (tag, value) = self.slots[key as usize % self.slots.len()];
         (tag == Self::tag(key)).then_some(value)
     }
 
+    /// Sets the value of a key, in place of the value of another key in the same slot.
     pub fn set(&mut self, key: u64, value: T) {
         let size = self.slots.len();
         self.slots[key as usize % size] = (Self::tag(key), value);
--- a/src/site_settings.rs
+++ b/src/site_settings.rs
@@ -118,7 +118,7 @@
 
 impl SiteSettings {
     /// Whether this router uses the caches of a zone.
-    pub fn serves(&self, zone: usize) -> bool {
+    pub fn uses_zone(&self, zone: usize) -> bool {
         self.served_zones.contains(&zone)
     }
 
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -70,7 +70,7 @@
     pub caches: Vec<HostShare>,
     pub parents: Vec<HostShare>,
     pub origin: Option<HostShare>,
-    /// When a parent is at its limit of fills, the parent is asked for what it has cached, and the origin is not
+    /// When a parent is at its limit of fills, the parent is asked for a cached copy only, and the origin is not
     /// asked.
     pub is_origin_spared: bool,
     pub max_forwards: u32,
@@ -92,8 +92,8 @@
         other_cache.or_else(|| self.caches.candidates(key).next())
     }
 
-    /// Selects the source that a miss of a key is filled from. The flag restricts the source to what it has cached.
-    /// `None` means that the cache returns what it has cached. `has_room` tells whether a host is below its limit of
+    /// Selects the source that a miss of a key is filled from. The flag restricts the source to its cached copies.
+    /// `None` means that the cache returns only a cached copy. `has_room` tells whether a host is below its limit of
     /// fills, which protects sources from more fills than that. If the parent is at its limit, the origin is asked,
     /// unless it is spared.
     pub fn source(
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,5 @@
 //! Shared test support: settings and hosts of a small location, a decision sink that prints decisions as a trace, a rig
-//! for the router alone, and a rig that runs the dispatcher against stub servers on loopback sockets. Each test file uses
-//! a part of it.
+//! for the router alone, and a rig that runs the dispatcher against stub servers on loopback sockets.
 #![allow(dead_code)]
 
 use calloop::EventLoop;
@@ -485,7 +484,7 @@
     pub fn reset_client(&mut self, client: usize) {
         let stream = &self.clients[client].stream;
         socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
-        // The client keeps its index, with a connection that nobody serves.
+        // The client keeps its index, with a connection that no process accepts.
         let nowhere = TcpListener::bind("127.0.0.1:0").unwrap();
         self.clients[client].stream = TcpStream::connect(nowhere.local_addr().unwrap()).unwrap();
         self.clients[client].is_closed = true;
@@ -513,18 +512,18 @@
         })
     }
 
-    /// Writes from a client, running turns whenever the socket buffer is full, for at most 1 s.
+    /// Writes from a client, running iterations whenever the socket buffer is full, for at most 1 s.
     pub fn write_with_turns(&mut self, client: usize, mut bytes: &[u8]) {
         let start = Instant::now();
         while !bytes.is_empty() && start.elapsed() < ms(1000) {
             match self.clients[client].stream.write(bytes) {
                 Ok(count) => bytes = &bytes[count..],
-                Err(_) => self.turn(),
+                Err(_) => self.run_iteration(),
             }
         }
     }
 
-    /// Sends a host's pending bytes now, without a turn of the dispatcher.
+    /// Sends a host's pending bytes now, without an iteration of the dispatcher.
     pub fn flush_host(&mut self, host: &str) {
         for StubConnection { socket, outbound, .. } in &mut self.host_mut(host).connections {
             socket.write_all(outbound).unwrap();
@@ -552,7 +551,7 @@
             let sent = socket.write(&outbound[..half]).unwrap_or(0);
             outbound.drain(..sent);
         }
-        // The second half goes out after a turn in which the dispatcher reads the first.
+        // The second half is sent after an iteration in which the dispatcher reads the first.
         self.event_loop.dispatch(Some(ms(1)), &mut self.dispatcher).unwrap();
         self.dispatcher.process_events();
     }
@@ -620,14 +619,14 @@
         connection.outbound.extend_from_slice(answer.as_bytes());
     }
 
-    /// Sends a part of an answer to the pending poll and closes the connection.
+    /// Sends the beginning of an answer to the pending poll and closes the connection.
     pub fn truncate_poll_answer(&mut self, part: &str) {
         self.wait_for_poll();
         let mut connection = self.changelog.connections.pop().unwrap();
         write!(connection.socket, "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{part}").unwrap();
     }
 
-    /// Runs turns until a poll is pending at the change log.
+    /// Runs iterations until a poll is pending at the change log.
     pub fn wait_for_poll(&mut self) {
         self.turn_until("no poll reached the change log within 3 s", Self::is_poll_pending);
     }
@@ -635,7 +634,7 @@
     fn turn_until(&mut self, failure: &str, done: impl Fn(&Self) -> bool) {
         let start = Instant::now();
         while !done(self) {
-            self.turn();
+            self.run_iteration();
             assert!(start.elapsed() < ms(3000), "{failure}");
         }
     }
@@ -696,32 +695,33 @@
         self.clients[client].is_closed = true;
     }
 
-    /// Runs turns for this long.
+    /// Runs iterations for this long.
     pub fn run_for_ms(&mut self, duration_ms: u64) {
         let start = Instant::now();
         while start.elapsed() < ms(duration_ms) {
-            self.turn();
+            self.run_iteration();
         }
     }
 
-    /// Runs turns until the trace has this many more lines, and 20 ms longer so that unexpected lines show too.
+    /// Runs iterations until the trace has this many more lines, and 20 ms longer so that unexpected lines show too.
     pub fn wait_for_lines(&mut self, lines: usize) {
         let wanted_count = self.trace.lines().count() + lines;
         let (start, mut reached_at) = (Instant::now(), None);
         while start.elapsed() < ms(3000) && reached_at.is_none_or(|time: Instant| time.elapsed() < ms(20)) {
-            self.turn();
+            self.run_iteration();
             reached_at = reached_at.or((self.trace.lines().count() >= wanted_count).then(Instant::now));
         }
         assert!(reached_at.is_some(), "the trace has fewer lines than expected after 3 s:\n{}", self.trace);
     }
 
-    /// Runs a turn of the dispatcher, the stubs and the clients.
-    pub fn turn(&mut self) {
-        self.turn_with(|_| ());
+    /// Runs one iteration of the event loop with the dispatcher, then the stubs and the clients.
+    pub fn run_iteration(&mut self) {
+        self.run_iteration_with(|_| ());
     }
 
-    /// Runs a turn with an action between the event loop's report of ready sockets and the dispatcher's own turn.
-    pub fn turn_with(&mut self, action: impl FnOnce(&mut Self)) {
+    /// Runs an iteration with an action between the event loop's report of ready sockets and their processing by the
+    /// dispatcher.
+    pub fn run_iteration_with(&mut self, action: impl FnOnce(&mut Self)) {
         self.event_loop.dispatch(ms(1).min(self.dispatcher.poll_timeout()), &mut self.dispatcher).unwrap();
         action(self);
         self.dispatcher.process_events();
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -48,11 +48,11 @@
     rig
 }
 
-/// Runs turns until the dispatcher is done, for at most `limit_ms`, and returns how long it took.
+/// Runs iterations until the dispatcher is done, for at most `limit_ms`, and returns how long it took.
 fn wait_until_done(rig: &mut DispatcherRig, limit_ms: u64) -> Duration {
     let start = Instant::now();
     while !rig.dispatcher.is_done() && start.elapsed() < ms(limit_ms) {
-        rig.turn();
+        rig.run_iteration();
     }
     assert!(rig.dispatcher.is_done(), "not done after {limit_ms} ms:\n{}", rig.trace);
     start.elapsed()
@@ -280,7 +280,7 @@
     wait_until_done(&mut rig, 100);
 }
 
-/// While shutdown closes idle connections, a request arrives on the first connection in the turn in which the second, which is
+/// While shutdown closes idle connections, a request arrives on the first connection in the iteration in which the second, which is
 /// not kept alive, is to be closed after its refusal.
 #[test]
 fn a_request_that_arrives_at_shutdown_while_another_connection_is_closed_is_not_forwarded() {
@@ -302,8 +302,8 @@
         rig.write(client, &bytes[bytes.len() - 11..]);
     }
     sleep(ms(5));
-    rig.turn();
-    rig.turn_with(|rig| {
+    rig.run_iteration();
+    rig.run_iteration_with(|rig| {
         rig.write(0, &object_request(2, "video", b""));
         sleep(ms(5));
     });
@@ -540,7 +540,7 @@
 }
 
 #[test]
-fn a_connection_established_in_the_turn_of_its_timeout_is_used() {
+fn a_connection_established_in_the_iteration_of_its_timeout_is_used() {
     let mut settings = settings();
     settings["limits"]["connect_timeout_ms"] = json!(1150.0);
     let mut rig = DispatcherRig::with_settings(settings, AMPLE_LIMITS);
@@ -548,7 +548,7 @@
     rig.send_get(1, "video", &[]);
     rig.run_for_ms(50);
     rig.empty_accept_queue("cache-0");
-    // The system repeats the SYN after 1 s; no turn runs until the connect timeout has passed too.
+    // The system repeats the SYN after 1 s; no iteration runs until the connect timeout has passed too.
     sleep(ms(1200));
     rig.wait_for_lines(1);
     assert_eq!((rig.forwards_read_by("cache-0", 1), rig.forwards_read(1)), (1, 1), "{}", rig.trace);
@@ -620,7 +620,7 @@
 }
 
 #[test]
-fn forwards_not_yet_sent_to_a_draining_host_go_elsewhere() {
+fn forwards_not_yet_sent_to_a_draining_host_are_rerouted() {
     let mut rig = DispatcherRig::new();
     rig.shrink_receive_buffers();
     let mut number = 1;
@@ -697,7 +697,7 @@
     let start = Instant::now();
     rig.run_for_ms(950);
     rig.empty_accept_queue("change log");
-    // The dispatcher connects at once; the system repeats the SYN after 1 s, later than a silent poll is given up.
+    // The dispatcher connects at once; the system repeats the SYN after 1 s, later than a silent poll times out.
     rig.wait_for_poll();
     let took = start.elapsed();
     assert!(took < ms(1250), "{took:?}");
@@ -714,7 +714,7 @@
         polls += 1;
         rig.wait_for_poll();
         let before = rig.changelog_connection_count();
-        // Ten pieces over 0.9 s. A poll that is given up meanwhile is answered again from the start.
+        // Ten pieces over 0.9 s. A poll that times out meanwhile is answered again from the start.
         for piece in answer.as_bytes().chunks(answer.len() / 9) {
             rig.write_poll_answer_piece(piece);
             rig.run_for_ms(100);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -217,7 +217,7 @@
 }
 
 /// Starts two hosts and takes GETs for 200 different objects within the time in which overload takes down a cold host.
-/// Returns the sending time, in seconds, of the GETs that go to `host` and of those that are filled from it.
+/// Returns the sending time, in seconds, of the GETs that are sent to `host` and of those that are filled from it.
 fn work_at(started: [HostIndex; 2], host: HostIndex) -> (f64, f64) {
     let mut fixture = RouterRig::new(settings());
     let entries = started.map(|host| HostEntry { start: Start::At(fixture.now), ..host_entry(host) });
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn a_get_that_would_be_late_at_its_cache_goes_along_the_ring_or_is_shed() {
+fn a_get_that_would_be_late_at_its_cache_is_sent_along_the_ring_or_shed() {
     let mut fixture = RouterRig::new(settings());
     let large_get = Get { ds: 0, object: 1, size_kb: 8000.0, viewer_timeout: ms(5000), ..Get::default() };
     for part in 0..6 {
--- a/tests/generated.rs
+++ b/tests/generated.rs
@@ -1,6 +1,6 @@
 //! Random sequences of steps by clients, hosts and the change log on real sockets. Invariants checked after each step:
 //! - a client gets at most one answer to a GET, and exactly one if it waits for it;
-//! - no forward is sent for a client that has left, and none to a draining host after the grace time of the drain;
+//! - no forward is sent for a client that has disconnected, and none to a draining host after the grace time of the drain;
 //! - each GET taken is answered, abandoned or in flight (asserted by the dispatcher itself in debug builds);
 //! - at the end the dispatcher holds no client connection and no buffered byte.
 
@@ -247,7 +247,7 @@
             }
             Step::Wait(wait_ms) => self.rig.run_for_ms(u64::from(wait_ms)),
         }
-        self.rig.turn();
+        self.rig.run_iteration();
         self.check_trace()
     }
 
@@ -310,7 +310,7 @@
         self.rig.dispatcher.stop();
         let start = Instant::now();
         while !self.rig.dispatcher.is_done() && start.elapsed() < ms(3700) {
-            self.rig.turn();
+            self.rig.run_iteration();
         }
         prop_assert!(self.rig.dispatcher.is_done(), "the dispatcher did not stop\n{}", self.rig.trace);
         prop_assert_eq!(
--- a/tests/reloads.rs
+++ b/tests/reloads.rs
@@ -12,7 +12,7 @@
 type Action<'a> = &'a dyn Fn(&mut DispatcherRig);
 
 const AMPLE_LIMITS: ResourceLimits = ResourceLimits { descriptors: 1024, memory_bytes: 192 << 20 };
-/// A poll lasts 0.5 s, a silent one is given up 0.25 s later, and the next starts 0.05 s after that. The remaining 0.2 s are slack
+/// A poll lasts 0.5 s, a silent one times out 0.25 s later, and the next starts 0.05 s after that. The remaining 0.2 s are slack
 /// for a busy machine.
 const MAX_SILENCE_DETECTION: Duration = Duration::from_millis(1000);
 
@@ -58,11 +58,11 @@
     rig.trace.lines().filter(|line| line.starts_with("client ") && line.contains(&marker)).count()
 }
 
-/// Runs turns until the dispatcher is done, for at most `limit_ms`, and returns how long it took.
+/// Runs iterations until the dispatcher is done, for at most `limit_ms`, and returns how long it took.
 fn wait_until_done(rig: &mut DispatcherRig, limit_ms: u64) -> Duration {
     let start = Instant::now();
     while !rig.dispatcher.is_done() {
-        rig.turn();
+        rig.run_iteration();
         assert!(start.elapsed() < ms(limit_ms), "not done after {limit_ms} ms:\n{}", rig.trace);
     }
     start.elapsed()
@@ -210,12 +210,12 @@
 }
 
 #[test]
-fn a_poll_that_falls_silent_late_is_given_up_in_time() {
+fn a_poll_that_falls_silent_late_is_replaced_in_time() {
     check_late_silence(false);
 }
 
 #[test]
-fn a_poll_that_falls_silent_late_at_shutdown_is_given_up_in_time() {
+fn a_poll_that_falls_silent_late_at_shutdown_is_replaced_in_time() {
     check_late_silence(true);
 }
 
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn forwards_not_yet_sent_to_a_host_missing_from_a_full_list_go_elsewhere() {
+fn forwards_not_yet_sent_to_a_host_missing_from_a_full_list_are_rerouted() {
     let mut rig = DispatcherRig::new();
     rig.shrink_receive_buffers();
     rig.send_get(1, "video", &[]);
@@ -469,7 +469,7 @@
             rig.run_for_ms(30);
             trigger(&mut rig);
             while !unanswered.is_empty() {
-                rig.turn();
+                rig.run_iteration();
                 unanswered.retain(|&(number, deadline)| {
                     let answered = count_answers(&rig, number) > 0;
                     assert!(
@@ -515,7 +515,7 @@
     assert!(rig.trace.ends_with("| the bytes\n"), "{}", rig.trace);
 }
 
-/// Many clients close or reset their connections in the turn in which the host connections that carry their GETs are reset too.
+/// Many clients close or reset their connections in the iteration in which the host connections that carry their GETs are reset too.
 #[test]
 fn gets_of_many_clients_that_disconnect_at_once_are_not_retried() {
     const BURST: u16 = 12;
--- a/tests/ring.rs
+++ b/tests/ring.rs
@@ -186,7 +186,7 @@
                 };
                 check_cost(cost_since(caches, before[0]), CACHE_WALKS);
                 check_cost(cost_since(parents, before[1]), PARENT_WALKS);
-                // If all hosts have failed, the GET goes directly to the origin.
+                // If all hosts have failed, the GET is sent directly to the origin.
                 assert_eq!(forward.unwrap().host == 2 * hosts, failed == FailedHosts::All, "{case}");
             }
         }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -99,7 +99,7 @@
             rig.send_get(99, &unanswered.name, &[("HTTP_BUDGET_MS", &unanswered.deadline_ms.to_string())]);
             let before = rig.trace.matches("client 0 reads 99: ").count();
             while rig.trace.matches("client 0 reads 99: ").count() == before {
-                rig.turn();
+                rig.run_iteration();
                 assert!(
                     start.elapsed() < ms(unanswered.deadline_ms as u64 + 50),
                     "the GET did not end in time\n{configuration}\n{}",
@@ -110,7 +110,7 @@
         let start = Instant::now();
         rig.dispatcher.stop();
         while !rig.dispatcher.is_done() {
-            rig.turn();
+            rig.run_iteration();
             assert!(
                 start.elapsed() < ms(max_deadline_ms.min(3000.0) as u64 + 700),
                 "the dispatcher did not stop in time\n{configuration}\n{}",
