--- a/crates/dispatcher/src/routing/clients.rs
+++ b/crates/dispatcher/src/routing/clients.rs
@@ -43,6 +43,7 @@
 }
 
 impl Client {
+    /// Wraps a connection that was accepted at `now`.
     pub fn new(connection: Connection<Dispatcher>, now: Duration) -> Self {
         Self {
             connection,
--- a/crates/dispatcher/src/routing/codec.rs
+++ b/crates/dispatcher/src/routing/codec.rs
@@ -11,23 +11,24 @@
 pub struct Codec {
     pub services: Vec<Bytes>,
     /// By service, whether its GETs are answered with cached copies. GETs that are passed through are not.
-    are_copies: Vec<bool>,
+    returns_copies: Vec<bool>,
 }
 
 impl Codec {
+    /// Reads the delivery services from the settings.
     pub fn new(settings: &Settings) -> Result<Self, String> {
         let classes = settings
             .get("classes")
-            .and_then(|v| v.as_array())
+            .and_then(|value| value.as_array())
             .ok_or("setting `classes` is missing or not a list")?;
-        let service = |v: &serde_json::Value| {
-            let name = v.get("name").and_then(|name| name.as_str());
+        let service = |value: &serde_json::Value| {
+            let name = value.get("name").and_then(|name| name.as_str());
             name.map(|name| Bytes::copy_from_slice(name.as_bytes()))
                 .ok_or("setting `classes`: a delivery service has no name")
         };
         let services = classes.iter().map(service).collect::<Result<Vec<_>, _>>()?;
         Ok(Self {
-            are_copies: (0..services.len())
+            returns_copies: (0..services.len())
                 .map(|ds| !flag(settings, &format!("domain.pass_on.{ds}")))
                 .collect(),
             services,
@@ -78,8 +79,8 @@
             has_tag && reply.field("since").and_then(parse_number).is_some()
         };
         Some(match &reply.status[..] {
-            b"200" if !self.are_copies[ds] || has_copy_fields() => End::Returned,
-            b"304" if self.are_copies[ds] && has_copy_fields() => End::Returned,
+            b"200" if !self.returns_copies[ds] || has_copy_fields() => End::Returned,
+            b"304" if self.returns_copies[ds] && has_copy_fields() => End::Returned,
             b"404" => End::Miss,
             b"503" => End::Full,
             b"500" => End::Errored,
@@ -113,7 +114,7 @@
 
 /// Whether the bytes can be the value of a field in a host's field list.
 fn is_token(bytes: &[u8]) -> bool {
-    bytes.iter().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
+    bytes.iter().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'))
 }
 
 /// Strips the weak prefix and the quotes of an HTTP entity tag.
--- a/crates/dispatcher/src/routing/connection_slab.rs
+++ b/crates/dispatcher/src/routing/connection_slab.rs
@@ -17,6 +17,7 @@
 }
 
 impl<T> ConnectionSlab<T> {
+    /// Creates an empty slab.
     pub fn new() -> Self {
         Self { slots: Slab::new(), serial: 0 }
     }
--- a/crates/dispatcher/src/routing/forwards.rs
+++ b/crates/dispatcher/src/routing/forwards.rs
@@ -320,6 +320,7 @@
         self.closing.start_close(EventSource::Link(key), link.connection, &mut self.read_buffer, self.now);
     }
 
+    /// Removes a connection without a lingering close.
     pub fn drop_link(&mut self, key: ConnectionKey) {
         self.remove_link(key);
     }
@@ -378,7 +379,8 @@
         link.in_flight_gets.retain(|&other| other != get_index);
         link.last_used_at = now;
         // No byte was received since the forward was sent, for longer than the connect timeout: the peer may have
-        // ended without closing, which a new connection will show. The cost is a needless handshake if the only host is slow.
+        // ended without closing, which a new connection will show. The cost is a needless handshake if the host is only
+        // slow.
         link.is_retired |= forward.message.is_some()
             && link.received_at <= forward.sent_at
             && now >= forward.sent_at + connect_timeout;
--- a/crates/dispatcher/src/routing/guards.rs
+++ b/crates/dispatcher/src/routing/guards.rs
@@ -24,6 +24,7 @@
 }
 
 impl Rule {
+    /// All rules, in the order of the report of counters.
     pub const ALL: [Self; 4] = [Self::Sending, Self::Repeating, Self::Closing, Self::Starting];
 
     /// Name of the rule in logs and in the report of counters.
--- a/crates/dispatcher/src/routing/in_flight.rs
+++ b/crates/dispatcher/src/routing/in_flight.rs
@@ -59,6 +59,7 @@
 }
 
 impl InFlightGets {
+    /// Inserts a GET at the index that the decision module gave it.
     pub fn insert(&mut self, get_index: GetIndex, pending: PendingGet) {
         if self.slots.len() <= get_index {
             self.slots.resize_with(get_index + 1, PendingGet::default);
@@ -95,6 +96,7 @@
         self.ids.contains(&id)
     }
 
+    /// Removes a GET that the decision module has released.
     pub fn remove(&mut self, get_index: GetIndex) {
         self.ids.remove(&self.slots[get_index].id);
         self.slots[get_index] = PendingGet::default();
--- a/crates/dispatcher/src/routing/lifecycle.rs
+++ b/crates/dispatcher/src/routing/lifecycle.rs
@@ -43,6 +43,7 @@
 }
 
 impl Lifecycle {
+    /// Starts in the serving state.
     pub fn new() -> Self {
         let never = Duration::MAX;
         Self {
@@ -54,6 +55,7 @@
         }
     }
 
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
@@ -96,6 +98,7 @@
         self.state == State::Draining && now >= self.accepts_until
     }
 
+    /// Moves on to closing.
     pub fn close(&mut self) {
         self.state = State::Closing;
     }
--- a/crates/dispatcher/src/routing/mod.rs
+++ b/crates/dispatcher/src/routing/mod.rs
@@ -159,10 +159,9 @@
     /// Logs a membership change and passes on the new number of routers that share the sources.
     fn on_membership_change(&mut self, membership: driver::ViewUpdate<'_>) {
         let (view, sharers) = (membership.view, membership.source_sharers);
-        let (epoch, here, doubted, gone, known) =
-            (view.epoch, view.alive, view.suspect, view.dead, view.known);
-        let (reach, change) = (view.reach, membership.change);
-        log::info!(epoch, here, doubted, gone, known, reach:?, sharers, change:?; "members");
+        log::info!(epoch = view.epoch, here = view.alive, doubted = view.suspect, gone = view.dead,
+            known = view.known, reach:? = view.reach, sharers, change:? = membership.change;
+            "members");
         self.proxy.new_router_count = Some(sharers);
     }
 
--- a/crates/dispatcher/src/routing/proxy.rs
+++ b/crates/dispatcher/src/routing/proxy.rs
@@ -229,13 +229,13 @@
 
     /// Reads the limits from the settings.
     pub fn read(config: &Settings) -> Self {
-        let services = || config.get("classes").and_then(|v| v.as_array()).into_iter().flatten();
+        let services = || config.get("classes").and_then(|value| value.as_array()).into_iter().flatten();
         let max_client_wait = services().filter_map(|ds| ds.get("deadline_ms")?.as_f64()).fold(0.0, f64::max);
         let objectives = services()
-            .map(|ds| duration_from_ms(ds.get("aim_ms").and_then(|v| v.as_f64()).unwrap_or(f64::MAX)))
+            .map(|ds| duration_from_ms(ds.get("aim_ms").and_then(|value| value.as_f64()).unwrap_or(f64::MAX)))
             .collect();
         let on_time_limit = |ds: &serde_json::Value| {
-            let setting = |name: &str| ds.get(name).and_then(|v| v.as_f64());
+            let setting = |name: &str| ds.get(name).and_then(|value| value.as_f64());
             duration_from_ms(
                 setting("aim_ms").unwrap_or(f64::MAX)
                     * (1.0 + setting("aim_stretch").unwrap_or(0.0).max(0.0)),
@@ -244,7 +244,7 @@
         Self {
             max_on_time: services().map(on_time_limit).collect(),
             streams_per_connection: number(config, "limits.streams_per_conn")
-                .map_or(1, |n| n as usize)
+                .map_or(1, |count| count as usize)
                 .max(1),
             idle_timeout: settings::duration(config, "limits.conn_idle_ms")
                 .unwrap_or_default()
@@ -255,14 +255,14 @@
                 duration_from_ms(MAX_OBJECT_KB / kb_per_s * TRANSFER_TIME_FACTOR * 1e3)
                     .max(MIN_PARTIAL_TIMEOUT)
             }),
-            max_forwards: number(config, "limits.max_attempts").map_or(u32::MAX, |n| n as u32),
+            max_forwards: number(config, "limits.max_attempts").map_or(u32::MAX, |count| count as u32),
             max_client_wait: duration_from_ms(if max_client_wait > 0.0 {
                 max_client_wait
             } else {
                 codec::MAX_BUDGET_MS
             }),
             objectives,
-            origin_kind: number(config, "domain.master_kind").ok().map(|n| n as usize),
+            origin_kind: number(config, "domain.master_kind").ok().map(|kind| kind as usize),
         }
     }
 }
@@ -483,6 +483,7 @@
             || self.now >= self.zones_due_at
     }
 
+    /// Schedules a wake-up of the decision module after this time, unless an earlier one is scheduled.
     pub fn schedule_wakeup_in(&mut self, after: Duration) {
         self.wakeup_at = self.wakeup_at.min(self.now + after);
     }
@@ -522,6 +523,7 @@
         self.in_flight.unanswered_count > 0 && self.lifecycle.must_answer(self.now)
     }
 
+    /// Whether the shutdown is complete.
     pub fn is_done(&self) -> bool {
         self.lifecycle.state() == State::Done
     }
@@ -557,6 +559,7 @@
         format!("return: {}; held back until then: {}", spans.join(", "), losses.join(" "))
     }
 
+    /// Logs the report of counters.
     pub fn report(&self) {
         let resource_usage = &self.resource_usage;
         log::info!(
@@ -585,6 +588,7 @@
         None
     }
 
+    /// The next GET that its client abandoned, to be reported to the decision module.
     pub fn next_abandoned(&mut self) -> Option<GetIndex> {
         self.abandoned_gets.pop_front()
     }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -135,6 +135,7 @@
 }
 
 impl<const SLOTS: usize> SlidingCounts<SLOTS> {
+    /// Creates empty counts over a window of this length.
     pub fn new(window: Duration) -> Self {
         Self { slots: [(0, 0); SLOTS], current_slot: 0, window }
     }
@@ -169,6 +170,7 @@
 }
 
 impl<T: Copy + Default> DirectMappedTable<T> {
+    /// Creates an empty table with this number of slots, a power of two.
     pub fn new(size: usize) -> Self {
         Self { slots: vec![(0, T::default()); size].into() }
     }
--- a/src/site_settings.rs
+++ b/src/site_settings.rs
@@ -90,6 +90,7 @@
 }
 
 impl DeliveryService {
+    /// Reads all delivery services from the settings.
     pub fn parse_all(settings: &Settings) -> Result<Vec<Self>, String> {
         (0..list(settings, "classes")?.len()).map(|ds| Self::parse(settings, ds)).collect()
     }
@@ -141,6 +142,7 @@
         if is_parent { self.hub_routers } else { self.routers }
     }
 
+    /// Reads the site's settings.
     pub fn parse(settings: &Settings) -> Result<Self, String> {
         let indices = |name: &str| -> Vec<usize> {
             let values = list(settings, name).unwrap_or_default();
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -445,7 +445,7 @@
     let warm_count = count_forwards(&mut fixture, 6);
     assert!(
         0 < cold_count && cold_count < warm_count,
-        "of 60 GETs {cold_count} go to the cold replacement, and {warm_count} once it is warm"
+        "of 60 GETs {cold_count} are forwarded to the cold replacement, and {warm_count} once it is warm"
     );
 }
 
