--- a/crates/dispatcher/src/routing/codec.rs
+++ b/crates/dispatcher/src/routing/codec.rs
@@ -126,7 +126,12 @@
 
 /// Parses a finite number that is not negative.
 pub fn parse_number(bytes: &[u8]) -> Option<f64> {
-    std::str::from_utf8(bytes).ok()?.trim().parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
+    std::str::from_utf8(bytes)
+        .ok()?
+        .trim()
+        .parse()
+        .ok()
+        .filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
 
 /// The note that a reply carries.
@@ -149,8 +154,8 @@
 /// Parses the load report of a reply, under either the settings' or the protocol page's names.
 pub fn reply_load(reply: &Reply) -> LoadReport {
     let mut load = LoadReport::default();
-    for pair in reply.field("rep").unwrap_or_default().split(|&b| b == b';') {
-        let Some(colon) = pair.iter().position(|&b| b == b':') else { continue };
+    for pair in reply.field("rep").unwrap_or_default().split(|&byte| byte == b';') {
+        let Some(colon) = pair.iter().position(|&byte| byte == b':') else { continue };
         let value = parse_number(&pair[colon + 1..]);
         match &pair[..colon] {
             b"util" | b"cpu_share" => load.utilization = value,
--- a/crates/recovery/src/fill_limiter.rs
+++ b/crates/recovery/src/fill_limiter.rs
@@ -297,7 +297,8 @@
         self.last_cut_at.is_none_or(|at| now >= at + interval)
     }
 
-    /// Cuts the limit to a fraction of the fills recently in flight. A limit far above its use would admit an overload.
+    /// Cuts the limit to a fraction of the portion of it that is in use. A limit far above its use would admit an
+    /// overload.
     fn cut(&mut self, factor: f64, in_flight: f64, now: Duration) {
         let minimum = MINIMUM.share_of_one_router(self.sharers);
         let in_use = self.mean_in_flight(now).unwrap_or(in_flight + 1.0);
@@ -356,9 +357,9 @@
         assert_eq!(limiter().mean_in_flight(ms(1)), None);
     }
 
-    /// Two late fills cut the limit to a fraction of the fills recently in flight, however large the limit was before.
+    /// Two late fills cut the limit to a fraction of the portion in use, however large the limit was before.
     #[test]
-    fn a_cut_starts_from_the_part_of_the_limit_in_use() {
+    fn a_cut_starts_from_the_portion_of_the_limit_in_use() {
         let (mut limiter, ms) = (limiter(), Duration::from_millis);
         (0..20).for_each(|index| limiter.on_sent(0.1, ms(index * 100)));
         let before = limiter.limit();
--- a/crates/wire/src/host_registry.rs
+++ b/crates/wire/src/host_registry.rs
@@ -63,8 +63,8 @@
         self.free_indices.extend(index);
     }
 
-    /// Converts an endpoint of the host list into an entry, and returns it with the invalid part of the endpoint, if
-    /// any. Fields that the endpoint omits keep the values of `known`. A host with an unknown status, zone or type is
+    /// Converts an endpoint of the host list into an entry, and returns it with a description of an invalid field, if
+    /// there is one. Fields that the endpoint omits keep the values of `known`. A host with an unknown status, zone or type is
     /// treated as removed.
     pub fn resolve_entry(
         &self,
--- a/src/host_life.rs
+++ b/src/host_life.rs
@@ -68,7 +68,7 @@
 /// Evidence that a host's process has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndEvidence {
-    /// Nobody listens at its address.
+    /// No process listens at its address.
     DialRefused,
     /// Its last connection ended. A process that is still running may have closed it.
     ConnectionsEnded,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -40,9 +40,11 @@
     /// The host refused the forward and did not run it.
     Full,
     TimedOut,
+    /// The connection failed before the whole forward was sent, so the forward did not run.
     NoConnection,
     Reset,
     Withdrawn,
+    /// The forward was not sent completely, so it did not run. The host is not judged by this.
     NeverSent,
     /// The response cannot be used, or the connection was closed because of another request. The forward may have
     /// run. The host is alive, and its health is not judged by this.
@@ -59,10 +61,13 @@
 /// What the answer reports about the copy or the fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
+    /// The answer carries no note that is known.
     Untold,
     Hit,
     Filled,
+    /// The object was requested from the origin for this fill.
     FilledFromOrigin,
+    /// The host joined a fill in progress.
     Joined,
     Stale,
     SourceRefused,
@@ -167,7 +172,9 @@
 /// Kind of an update of the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
+    /// Entries that were added or have changed.
     Changes,
+    /// The full list. Hosts that are missing from it are removed.
     Full,
     /// The full list as this router last held it. It may be out of date.
     Persisted,
@@ -214,5 +221,6 @@
     fn schedule_wakeup(&mut self, after: Duration);
     /// Requests updates of the host list from now on.
     fn subscribe_host_list(&mut self);
+    /// Logs a line.
     fn log(&mut self, line: std::fmt::Arguments<'_>);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -513,7 +513,7 @@
     }
 
     /// Writes from a client, running iterations whenever the socket buffer is full, for at most 1 s.
-    pub fn write_with_turns(&mut self, client: usize, mut bytes: &[u8]) {
+    pub fn write_while_running(&mut self, client: usize, mut bytes: &[u8]) {
         let start = Instant::now();
         while !bytes.is_empty() && start.elapsed() < ms(1000) {
             match self.clients[client].stream.write(bytes) {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -179,7 +179,7 @@
         // No request is completed, so the dispatcher buffers the bodies.
         for number in 1..=8 {
             let request_bytes = object_request(100 * client as u16 + number, "confirm", &[b'x'; 48_000]);
-            rig.write_with_turns(client, &request_bytes[..request_bytes.len() - 11]);
+            rig.write_while_running(client, &request_bytes[..request_bytes.len() - 11]);
         }
     }
     rig.run_for_ms(100);
