--- a/crates/dispatcher/src/routing/in_flight.rs
+++ b/crates/dispatcher/src/routing/in_flight.rs
@@ -59,6 +59,7 @@
 }
 
 impl InFlightGets {
+    /// Inserts a GET at the index that the decision module gave it.
     pub fn insert(&mut self, get_index: GetIndex, pending: PendingGet) {
         if self.slots.len() <= get_index {
             self.slots.resize_with(get_index + 1, PendingGet::default);
@@ -68,10 +69,12 @@
         self.slots[get_index] = pending;
     }
 
+    /// The GET at this index, which must be in flight.
     pub fn get(&self, get_index: GetIndex) -> &PendingGet {
         &self.slots[get_index]
     }
 
+    /// The GET at this index, which must be in flight, for modification.
     pub fn get_mut(&mut self, get_index: GetIndex) -> &mut PendingGet {
         &mut self.slots[get_index]
     }
@@ -93,6 +96,7 @@
         self.ids.contains(&id)
     }
 
+    /// Removes a GET that the decision module has released.
     pub fn remove(&mut self, get_index: GetIndex) {
         self.ids.remove(&self.slots[get_index].id);
         self.slots[get_index] = PendingGet::default();
--- a/crates/dispatcher/src/routing/mod.rs
+++ b/crates/dispatcher/src/routing/mod.rs
@@ -159,10 +159,9 @@
     /// Logs a membership change and passes on the new number of routers that share the sources.
     fn on_membership_change(&mut self, membership: driver::ViewUpdate<'_>) {
         let (view, sharers) = (membership.view, membership.source_sharers);
-        let (epoch, here, doubted, gone, known) =
-            (view.epoch, view.alive, view.suspect, view.dead, view.known);
-        let (reach, change) = (view.reach, membership.change);
-        log::info!(epoch, here, doubted, gone, known, reach:?, sharers, change:?; "members");
+        log::info!(epoch = view.epoch, here = view.alive, doubted = view.suspect, gone = view.dead,
+            known = view.known, reach:? = view.reach, sharers, change:? = membership.change;
+            "members");
         self.proxy.new_router_count = Some(sharers);
     }
 
@@ -177,7 +176,7 @@
         self.proxy.next_deadline().saturating_sub(self.proxy.clock.now())
     }
 
-    /// Processes all that one event loop iteration brought as one round, and runs another round at once if one ended
+    /// Processes all events of one event loop iteration as one round, and runs another round at once if one ended
     /// forwards locally.
     pub fn process_events(&mut self) {
         let Self { router, proxy, .. } = self;
@@ -213,7 +212,7 @@
                     round.on_host_list(ListUpdate::Changes, &changed_entries);
                 }
                 // Abandoned GETs come before outcomes, so that a failed forward is not retried for a client that has
-                // left.
+                // disconnected.
                 while let Some(get_index) = round.sink().next_abandoned() {
                     round.on_abandoned(get_index);
                 }
--- a/crates/dispatcher/src/routing/proxy.rs
+++ b/crates/dispatcher/src/routing/proxy.rs
@@ -29,7 +29,7 @@
 
 /// Size of the buffer through which all connections read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Interval at which idle and stuck connections are looked for and closed.
+/// Interval at which idle and stuck connections are detected and closed.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Fraction of the hosts' idle timeout after which a connection is closed here, so that nothing is written to a
 /// connection that the host is closing.
@@ -51,7 +51,7 @@
 /// opens at once.
 const RESERVED_DESCRIPTORS: usize = 14;
 /// Minimum time in which a partly received reply must be completed. Hosts write a reply in one piece, so the rest is
-/// delayed by a short network disturbance only.
+/// delayed only by a short network disturbance.
 const MIN_PARTIAL_TIMEOUT: Duration = Duration::from_millis(250);
 /// The time to complete a reply is this many times the transfer time of the largest object at the rate in the settings.
 const TRANSFER_TIME_FACTOR: f64 = 2.0;
@@ -96,7 +96,7 @@
     StartDeadline(GetIndex, u64),
     /// GETs no longer wait for the connection to be established.
     ConnectTimeout(ConnectionKey),
-    /// The connection attempt is given up.
+    /// The connection attempt is abandoned.
     DialTimeout(ConnectionKey),
 }
 
@@ -178,7 +178,7 @@
     end_log_budget: LogBudget,
     /// Forwards sent in this `LOG_INTERVAL` that go to the origin or name it as their fill source.
     pub origin_forwards: u32,
-    /// Replies in this `LOG_INTERVAL` that said they were filled from the origin.
+    /// Replies in this `LOG_INTERVAL` that reported a fill from the origin.
     pub origin_fills: u32,
     /// When these two counts are logged next.
     origin_log_due_at: Duration,
@@ -229,13 +229,13 @@
 
     /// Reads the limits from the settings.
     pub fn read(config: &Settings) -> Self {
-        let services = || config.get("classes").and_then(|v| v.as_array()).into_iter().flatten();
+        let services = || config.get("classes").and_then(|value| value.as_array()).into_iter().flatten();
         let max_client_wait = services().filter_map(|ds| ds.get("deadline_ms")?.as_f64()).fold(0.0, f64::max);
         let objectives = services()
-            .map(|ds| duration_from_ms(ds.get("aim_ms").and_then(|v| v.as_f64()).unwrap_or(f64::MAX)))
+            .map(|ds| duration_from_ms(ds.get("aim_ms").and_then(|value| value.as_f64()).unwrap_or(f64::MAX)))
             .collect();
         let on_time_limit = |ds: &serde_json::Value| {
-            let setting = |name: &str| ds.get(name).and_then(|v| v.as_f64());
+            let setting = |name: &str| ds.get(name).and_then(|value| value.as_f64());
             duration_from_ms(
                 setting("aim_ms").unwrap_or(f64::MAX)
                     * (1.0 + setting("aim_stretch").unwrap_or(0.0).max(0.0)),
@@ -244,7 +244,7 @@
         Self {
             max_on_time: services().map(on_time_limit).collect(),
             streams_per_connection: number(config, "limits.streams_per_conn")
-                .map_or(1, |n| n as usize)
+                .map_or(1, |count| count as usize)
                 .max(1),
             idle_timeout: settings::duration(config, "limits.conn_idle_ms")
                 .unwrap_or_default()
@@ -255,14 +255,14 @@
                 duration_from_ms(MAX_OBJECT_KB / kb_per_s * TRANSFER_TIME_FACTOR * 1e3)
                     .max(MIN_PARTIAL_TIMEOUT)
             }),
-            max_forwards: number(config, "limits.max_attempts").map_or(u32::MAX, |n| n as u32),
+            max_forwards: number(config, "limits.max_attempts").map_or(u32::MAX, |count| count as u32),
             max_client_wait: duration_from_ms(if max_client_wait > 0.0 {
                 max_client_wait
             } else {
                 codec::MAX_BUDGET_MS
             }),
             objectives,
-            origin_kind: number(config, "domain.master_kind").ok().map(|n| n as usize),
+            origin_kind: number(config, "domain.master_kind").ok().map(|kind| kind as usize),
         }
     }
 }
@@ -389,7 +389,7 @@
     }
 
     /// Logs once in each `LOG_INTERVAL` how many forwards went to the origin or named it as their fill source, and
-    /// how many replies said they were filled from it, if there were any. Summed over a fleet's logs by second, the
+    /// how many replies reported a fill from it, if there were any. Summed over a fleet's logs by second, the
     /// counts are the origin's requested and performed fills.
     pub fn log_origin_use(&mut self) {
         if self.now < self.origin_log_due_at {
@@ -483,6 +483,7 @@
             || self.now >= self.zones_due_at
     }
 
+    /// Schedules a wake-up of the decision module after this time, unless an earlier one is scheduled.
     pub fn schedule_wakeup_in(&mut self, after: Duration) {
         self.wakeup_at = self.wakeup_at.min(self.now + after);
     }
@@ -522,6 +523,7 @@
         self.in_flight.unanswered_count > 0 && self.lifecycle.must_answer(self.now)
     }
 
+    /// Whether the shutdown is complete.
     pub fn is_done(&self) -> bool {
         self.lifecycle.state() == State::Done
     }
@@ -557,6 +559,7 @@
         format!("return: {}; held back until then: {}", spans.join(", "), losses.join(" "))
     }
 
+    /// Logs the report of counters.
     pub fn report(&self) {
         let resource_usage = &self.resource_usage;
         log::info!(
@@ -585,6 +588,7 @@
         None
     }
 
+    /// The next GET that its client abandoned, to be reported to the decision module.
     pub fn next_abandoned(&mut self) -> Option<GetIndex> {
         self.abandoned_gets.pop_front()
     }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -135,6 +135,7 @@
 }
 
 impl<const SLOTS: usize> SlidingCounts<SLOTS> {
+    /// Creates empty counts over a window of this length.
     pub fn new(window: Duration) -> Self {
         Self { slots: [(0, 0); SLOTS], current_slot: 0, window }
     }
@@ -169,6 +170,7 @@
 }
 
 impl<T: Copy + Default> DirectMappedTable<T> {
+    /// Creates an empty table with this number of slots, a power of two.
     pub fn new(size: usize) -> Self {
         Self { slots: vec![(0, T::default()); size].into() }
     }
@@ -178,11 +180,13 @@
         (key >> 32) as u32 | 1
     }
 
+    /// The value of a key, if no newer key has replaced it.
     pub fn get(&self, key: u64) -> Option<T> {
         let (tag, value) = self.slots[key as usize % self.slots.len()];
         (tag == Self::tag(key)).then_some(value)
     }
 
+    /// Sets the value of a key, in place of the value of another key in the same slot.
     pub fn set(&mut self, key: u64, value: T) {
         let size = self.slots.len();
         self.slots[key as usize % size] = (Self::tag(key), value);
